--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -39,7 +39,7 @@
     auto enter_buffer(Course& course) -> awaitable<CourseStep>;
     auto claim(Course& course) -> awaitable<CourseStep>;
     auto send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep>;
-    auto log_ticket(Ticket const& ticket, char const* event, std::string what, std::string replica) -> void;
+    auto log_ticket(InferenceRequest const& ticket, char const* event, std::string what, std::string replica) -> void;
 };
 
 struct TryResult {
--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -19,7 +19,7 @@
     co_await timer.async_wait(use_tuple);
 }
 
-auto run_body(Ticket const& ticket, Placement const& placement) -> std::string {
+auto run_body(InferenceRequest const& ticket, Placement const& placement) -> std::string {
     json::array chain;
     for (auto item : ticket.chain) chain.push_back(json::string(chain_text(item)));
     json::array tokens;
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -86,7 +86,8 @@
     co_return result.held_back ? course.held_back() : course.ended(result.end, result.reason);
 }
 
-auto Session::log_ticket(Ticket const& ticket, char const* event, std::string what, std::string replica) -> void {
+auto Session::log_ticket(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
+    -> void {
     write_log(
         Level::debug, event,
         fields("ticket", ticket.number, "tenant", ticket.tenant_path, "what", what, "replica", replica));
--- a/source/process/measures.cpp
+++ b/source/process/measures.cpp
@@ -35,7 +35,7 @@
     text += whole + "_count" + braces + " " + std::to_string(total) + "\n";
 }
 
-auto Measures::Labelled::of(Ticket const& ticket) -> Histogram& {
+auto Measures::Labelled::of(InferenceRequest const& ticket) -> Histogram& {
     auto const guard = std::lock_guard(lock);
     auto const full = by_label.size() >= most_labels;
     auto const label = full ? std::pair(std::string("other"), 0) : std::pair(ticket.body.kind, ticket.rank);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -127,11 +127,11 @@
     auto judge_load(Microseconds now) -> void;                                     // whether it goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
     auto form_anew(std::function<void(CallDone)> done) -> void;
-    auto make_claim(Ticket const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
+    auto make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
     auto release(std::string const& replica, std::uint64_t ticket) -> void;
     auto try_ended(
-        std::string const& replica, Ticket const& ticket, TryEnd end, std::string const& reason, Microseconds sent_at)
-        -> void;
+        std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
+        Microseconds sent_at) -> void;
     auto facts_for(std::string const& replica) const -> CourseFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
     auto refusal_limit() const -> Microseconds { return refusal_limit_of(settings.bounds); }
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -103,7 +103,7 @@
     });
 }
 
-auto Node::make_claim(Ticket const& ticket, bool release, std::function<void(ClaimDone)> done) -> void {
+auto Node::make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void {
     auto const partition = partition_of_service(ticket.body.model);
     auto ask = ClaimAsk{partition, 0, claim_key(ticket), "", release};
     in_control([this, ask = std::move(ask), number = ticket.number, done = std::move(done)]() mutable {
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -43,8 +43,8 @@
 }
 
 auto Node::try_ended(
-    std::string const& replica, Ticket const& ticket, TryEnd end, std::string const& reason, Microseconds sent_at)
-    -> void {
+    std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
+    Microseconds sent_at) -> void {
     auto const now = clock_now();
     {
         auto const guard = std::lock_guard(table.lock);
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -23,7 +23,7 @@
 constexpr auto most_tokens = std::int64_t{100'000'000};
 constexpr Microseconds longest_timeout = 24 * 3'600 * one_second;
 
-auto read_prefix(std::string_view text, Ticket& ticket) -> void {
+auto read_prefix(std::string_view text, InferenceRequest& ticket) -> void {
     while (!text.empty()) {
         auto item = take_until(text, ',');
         while (item.starts_with(' ')) item.remove_prefix(1);
@@ -73,7 +73,7 @@
 }
 
 // What granting has to know of a request that its route and its tenant let in.
-auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, Ticket& ticket) -> void {
+auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& ticket) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
     ticket.body.model = choose_service(route, hash_text(arrival.identity));
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -9,7 +9,7 @@
 constexpr auto replica_filters = filter_names.size();
 
 // Requests that share a prefix have the same order of replicas; those without one are spread.
-auto spreading_seed(Ticket const& ticket, std::string const& node) -> std::uint64_t {
+auto spreading_seed(InferenceRequest const& ticket, std::string const& node) -> std::uint64_t {
     if (!ticket.chain.empty() || !ticket.parts_alone) return ticket.affinity != 0 ? ticket.affinity : ticket.number;
     return hash_text(node, ticket.number);
 }
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-auto shared_run(Ticket const& ticket) -> std::int64_t {
+auto shared_run(InferenceRequest const& ticket) -> std::int64_t {
     auto tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index + 1 < ticket.body.prefix.size(); ++index)
         tokens += ticket.body.prefix[index].tokens;
@@ -55,8 +55,9 @@
 }
 
 // Running over capacity, in steps where options say so; ties go to the longest kept prefix, then to a hash.
-auto Granting::least_requests(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now)
-    const -> ReplicaState const* {
+auto Granting::least_requests(
+    std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
+    -> ReplicaState const* {
     auto const seed = options.work_outstanding ? spreading_seed(ticket, burden.self)
         : ticket.affinity != 0                 ? ticket.affinity
                                                : ticket.number;
@@ -87,7 +88,7 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Granting::kept_runs(Ticket const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
+auto Granting::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
     auto runs = KeptRuns{weights_mark};
     for (auto const* state : burden.pool(ticket.body.model)) {
         if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
@@ -107,7 +108,8 @@
 }
 
 // The least work to wait for before the first token; ties go by the hash of the shared prefix.
-auto Granting::least_work(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
+auto Granting::least_work(
+    std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
     -> ReplicaState const* {
     auto const seed = spreading_seed(ticket, burden.self);
     auto const by_hash = [&](auto const* left, auto const* right) {
@@ -150,7 +152,7 @@
     return observed.value_or(options.recompute_tokens_each_second);
 }
 
-auto Granting::first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void {
+auto Granting::first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void {
     burden.first_output(placement.replica, ticket.number);
     // What waited behind other prompts says nothing of the speed of reading.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -37,13 +37,13 @@
     for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
 }
 
-auto BurdenTable::check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter {
+auto BurdenTable::check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter {
     auto const result = check_apart_from_health(state, ticket, now);
     return result == Filter::passed && !state.health.usable(now) ? Filter::failing : result;
 }
 
-auto BurdenTable::check_apart_from_health(ReplicaState const& state, Ticket const& ticket, Microseconds now) const
-    -> Filter {
+auto BurdenTable::check_apart_from_health(
+    ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter {
     if (state.entry.drain) return Filter::available;
     if (state.unreachable || now < state.unreachable_until) return Filter::reachable;
     if (!state.report || state.report->changing) return Filter::weights;
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -114,7 +114,8 @@
 }
 
 auto BurdenTable::place(
-    std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread) -> void {
+    std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread)
+    -> void {
     auto& state = replicas.at(name);
     state.take_away(ticket.number);
     state.placed[ticket.number] = {ticket.body.slots, memory, now, unread};
@@ -157,7 +158,7 @@
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.parts.clear();
 }
 
-auto BurdenTable::kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t {
+auto BurdenTable::kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
     if (ticket.parts_alone) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -189,8 +189,8 @@
     auto take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void;
     // `unread`: tokens of the prompt that the replica has to read itself.
     auto place(
-        std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread = 0)
-        -> void;
+        std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now,
+        std::int64_t unread = 0) -> void;
     // The prompt has been read: the first output came.
     auto first_output(std::string const& name, std::uint64_t ticket) -> void;
     auto ended(std::string const& name, bool failed, Microseconds now) -> void;
@@ -201,9 +201,10 @@
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t;
-    auto check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
-    auto check_apart_from_health(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
+    auto kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t;
+    auto check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter;
+    auto check_apart_from_health(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const
+        -> Filter;
     auto active_nodes(Microseconds now) const -> std::int64_t;
     auto refused(std::string const& name, std::string_view reason, Microseconds now) -> void;
     auto has_room(ReplicaState const& state, Microseconds now) const -> bool;
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -2,7 +2,7 @@
 
 namespace dockrock {
 
-auto claim_key(Ticket const& ticket) -> std::string {
+auto claim_key(InferenceRequest const& ticket) -> std::string {
     return sha256_of(ticket.body.model + "\n" + ticket.tenant_path + "\n" + ticket.body.identity).substr(0, 32);
 }
 
@@ -139,7 +139,7 @@
 }
 
 // Rules that moved while a request waits may only make it stricter.
-auto Course::take_rules(Ticket const& judged_ticket) -> void {
+auto Course::take_rules(InferenceRequest const& judged_ticket) -> void {
     ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
     ticket.tries = std::min(ticket.tries, judged_ticket.tries);
 }
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -49,7 +49,7 @@
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
 struct Course {
-    Ticket ticket;
+    InferenceRequest ticket;
     Sequence rules;  // under which the ticket was judged last
     Placement placement;
     int try_number = 1;
@@ -81,12 +81,12 @@
     auto last_checks(CourseFacts const& facts) -> CourseStep;
     auto enter_back() -> CourseStep;
     auto request_facts() const -> RetryRequest;
-    auto take_rules(Ticket const& judged_ticket) -> void;
+    auto take_rules(InferenceRequest const& judged_ticket) -> void;
     auto give_up(std::string reason, std::int64_t retry_after) const -> CourseStep;
 };
 
 // What is claimed: one identity of one tenant, at one model's part.
-auto claim_key(Ticket const& ticket) -> std::string;
+auto claim_key(InferenceRequest const& ticket) -> std::string;
 auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string;
 
 }  // namespace dockrock
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/entry_table.hpp
@@ -30,7 +30,7 @@
     // `avoid` names the replica of an earlier try that did not run; then the
     // entry is an extra try.
     auto enter(
-        Ticket const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
+        InferenceRequest const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
         Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
         entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -22,7 +22,8 @@
     link_speeds[{source, target}] = {tokens > 0 ? before * 0.5 + seen * 0.5 : before * 0.5, now};
 }
 
-auto Granting::plan_fetch(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now) const
+auto Granting::plan_fetch(
+    ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) const
     -> FetchPlan {
     FetchPlan best;
     auto best_gain = 0.0;  // seconds saved over recomputing
@@ -46,8 +47,8 @@
 
 // Single parts: from whichever peer or store keeps the longest run beyond what
 // the target keeps, the nearer first; what no store keeps yet is sent to one.
-auto Granting::plan_parts(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now)
-    -> FetchPlan {
+auto Granting::plan_parts(
+    ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) -> FetchPlan {
     FetchPlan best;
     auto best_near = false;
     auto const weigh = [&](std::string const& source, std::string const& area, std::int64_t tokens) {
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -28,12 +28,12 @@
     decisions.sheds.push_back({ticket, reason, retry_after(buffer)});
 }
 
-auto Granting::expected_service(ModelBuffer const& buffer, Ticket const& ticket) const -> Microseconds {
+auto Granting::expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds {
     // Half the usual time: only the hopeless are given up (design 9.5).
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
 }
 
-auto Granting::enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void {
+auto Granting::enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
     if (!ticket.counted) budget.ticket_came();
     auto& buffer = buffers[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
@@ -60,7 +60,7 @@
 
 // Only for a ticket that is known not to have run. Its extra try waits for the
 // budget a little; what the budget can't pay in time is given up (design 10.4).
-auto Granting::enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void {
+auto Granting::enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
     buffers[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
 
@@ -193,7 +193,8 @@
 }
 
 auto Granting::finished(
-    std::string const& replica, Ticket const& ticket, Microseconds service, Microseconds now, bool answered) -> void {
+    std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now, bool answered)
+    -> void {
     (void)now;
     burden.release(replica, ticket.number);
     if (!answered) return;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -52,7 +52,7 @@
     std::int64_t stores = 0;
 };
 // Tokens of a prompt that other requests may ask for again: all parts but the last.
-auto shared_run(Ticket const& ticket) -> std::int64_t;
+auto shared_run(InferenceRequest const& ticket) -> std::int64_t;
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
@@ -78,7 +78,7 @@
 };
 
 struct Waiting {
-    Ticket ticket;
+    InferenceRequest ticket;
     Microseconds since = 0;
     std::set<std::string> avoid;  // replicas that refused it
     Microseconds owes_since = 0;  // an extra try that the budget has still to pay
@@ -120,18 +120,18 @@
     std::uint64_t extra_tries = 0;
 
     auto set_options(SchedulingOptions const& given) -> void { options = burden.options = given; }
-    auto enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void;
-    auto enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void;
+    auto enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void;
+    auto enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void;
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
     auto withdraw(std::uint64_t ticket) -> bool;
     auto match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
     auto finished(
-        std::string const& replica, Ticket const& ticket, Microseconds service, Microseconds now, bool answered)
-        -> void;
+        std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now,
+        bool answered) -> void;
     // The first output came `took` after the request was sent: its prompt has been read.
-    auto first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void;
+    auto first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void;
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
     auto score(Waiting const& waiting, Microseconds now) const -> double;
@@ -142,18 +142,19 @@
     auto match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions) -> void;
     auto candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(Waiting& waiting, Microseconds now) -> ReplicaState const*;
-    auto least_requests(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
-        -> ReplicaState const*;
-    auto least_work(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
-        -> ReplicaState const*;
-    auto kept_runs(Ticket const& ticket, std::uint64_t weights_mark) const -> KeptRuns;
+    auto least_requests(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
+        const -> ReplicaState const*;
+    auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
+        const -> ReplicaState const*;
+    auto kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> KeptRuns;
     auto place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
-    auto plan_parts(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now) -> FetchPlan;
-    auto plan_fetch(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now) const
+    auto plan_parts(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
         -> FetchPlan;
+    auto plan_fetch(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
+        const -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelBuffer const& buffer, Ticket const& ticket) const -> Microseconds;
+    auto expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds;
 };
 
 }  // namespace dockrock
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -20,7 +20,7 @@
     int status = 500;
     std::string reason;
     Problems problems;
-    Ticket ticket;
+    InferenceRequest ticket;
     std::string forward_path;
 };
 
--- a/source/ticket/ticket.hpp
+++ b/source/ticket/ticket.hpp
@@ -26,7 +26,7 @@
 
 inline constexpr auto unlimited_tries = std::int64_t{1} << 30;
 
-struct Ticket {
+struct InferenceRequest {
     std::uint64_t number = 0;
     TicketBody body;
     std::string key_hash;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -34,8 +34,8 @@
 }
 
 inline auto make_ticket(std::uint64_t number, std::int64_t max_tokens = 100, Microseconds deadline = 100 * one_second)
-    -> Ticket {
-    Ticket ticket;
+    -> InferenceRequest {
+    InferenceRequest ticket;
     ticket.number = number;
     ticket.body.model = "large";
     ticket.body.max_tokens = max_tokens;
@@ -45,7 +45,8 @@
     return ticket;
 }
 
-inline auto with_prefix(Ticket ticket, std::vector<std::uint64_t> chain, std::int64_t tokens_each) -> Ticket {
+inline auto with_prefix(InferenceRequest ticket, std::vector<std::uint64_t> chain, std::int64_t tokens_each)
+    -> InferenceRequest {
     ticket.chain = std::move(chain);
     for (auto count = std::size_t{0}; count < ticket.chain.size(); ++count)
         ticket.body.prefix.push_back({"part", tokens_each});
@@ -80,7 +81,7 @@
     return granting;
 }
 
-inline auto enter(Granting& granting, Ticket const& ticket, Microseconds now) -> Decisions {
+inline auto enter(Granting& granting, InferenceRequest const& ticket, Microseconds now) -> Decisions {
     Decisions decisions;
     granting.enter(ticket, now, decisions);
     return decisions;
--- a/tests/hollow/load.cpp
+++ b/tests/hollow/load.cpp
@@ -59,8 +59,8 @@
     return list;
 }
 
-auto request_of(LoadShape const& shape, std::uint64_t number, Random& random) -> Ticket {
-    Ticket request;
+auto request_of(LoadShape const& shape, std::uint64_t number, Random& random) -> InferenceRequest {
+    InferenceRequest request;
     request.number = number;
     request.body.model = "model-" + std::to_string(random.below(shape.models));
     request.body.max_tokens = 20;
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -22,7 +22,8 @@
 }
 
 // A prompt of one shared part and one of its own.
-auto long_prompt(std::uint64_t number, std::uint64_t shared_part, std::int64_t shared, std::int64_t own) -> Ticket {
+auto long_prompt(std::uint64_t number, std::uint64_t shared_part, std::int64_t shared, std::int64_t own)
+    -> InferenceRequest {
     auto ticket = make_ticket(number, 10);
     ticket.parts_alone = true;
     ticket.chain = {shared_part, 1'000'000 + number};
@@ -32,7 +33,7 @@
     return ticket;
 }
 
-auto placed_at(Granting& granting, Ticket const& ticket, Microseconds now) -> std::string {
+auto placed_at(Granting& granting, InferenceRequest const& ticket, Microseconds now) -> std::string {
     enter(granting, ticket, now);
     return match(granting, now).placements.at(0).replica;
 }
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -163,12 +163,12 @@
     auto finish(std::uint64_t number, std::string outcome) -> void;
     // replicas
     auto receive(
-        std::size_t replica, std::size_t index, std::uint64_t number, Ticket const& ticket, Placement const& placement)
-        -> void;
-    auto judge_run(SimulatedReplica& replica, Asking& asking, Ticket const& ticket) -> std::int64_t;
+        std::size_t replica, std::size_t index, std::uint64_t number, InferenceRequest const& ticket,
+        Placement const& placement) -> void;
+    auto judge_run(SimulatedReplica& replica, Asking& asking, InferenceRequest const& ticket) -> std::int64_t;
     auto work_on(
-        std::size_t replica, std::uint64_t life, std::size_t index, std::uint64_t number, Ticket const& ticket,
-        std::uint64_t run, std::int64_t memory) -> void;
+        std::size_t replica, std::uint64_t life, std::size_t index, std::uint64_t number,
+        InferenceRequest const& ticket, std::uint64_t run, std::int64_t memory) -> void;
     auto tell_piece(
         std::size_t index, std::uint64_t node_life, std::uint64_t number, std::string name, std::string line,
         std::int64_t told, std::uint64_t run, bool last, std::shared_ptr<PieceReader> reader) -> void;
--- a/tests/simulation/fleet_replicas.cpp
+++ b/tests/simulation/fleet_replicas.cpp
@@ -8,8 +8,8 @@
 }  // namespace
 
 auto Fleet::receive(
-    std::size_t target, std::size_t index, std::uint64_t number, Ticket const& ticket, Placement const& placement)
-    -> void {
+    std::size_t target, std::size_t index, std::uint64_t number, InferenceRequest const& ticket,
+    Placement const& placement) -> void {
     auto& replica = *replicas[target];
     auto& asking = askings.at(number);
     auto const refuse = [&](std::string reason) {
@@ -52,7 +52,7 @@
 }
 
 // Drain marks, keys, walls and weights, from the operator's acknowledgement on.
-auto Fleet::judge_run(SimulatedReplica& replica, Asking& asking, Ticket const& ticket) -> std::int64_t {
+auto Fleet::judge_run(SimulatedReplica& replica, Asking& asking, InferenceRequest const& ticket) -> std::int64_t {
     auto const& tenant = tenants[asking.tenant];
     if (replica.drained_at >= 0 && world.now - replica.drained_at > 3 * one_second)
         violation(
@@ -79,7 +79,7 @@
 }
 
 auto Fleet::work_on(
-    std::size_t target, std::uint64_t life, std::size_t index, std::uint64_t number, Ticket const& ticket,
+    std::size_t target, std::uint64_t life, std::size_t index, std::uint64_t number, InferenceRequest const& ticket,
     std::uint64_t run, std::int64_t memory) -> void {
     auto& replica = *replicas[target];
     auto const node_life = askings.at(number).node_life;
