--- a/source/ticket/ticket.hpp
+++ b/source/ticket/ticket.hpp
@@ -10,7 +10,7 @@
 };
 
 // What a caller sends to a models mapping.
-struct TicketBody {
+struct InferenceBody {
     std::string model;
     std::string kind;
     std::string prompt;
@@ -28,7 +28,7 @@
 
 struct InferenceRequest {
     std::uint64_t number = 0;
-    TicketBody body;
+    InferenceBody body;
     std::string key_hash;
     std::string tenant_path;
     std::string wall_domain;
@@ -50,5 +50,5 @@
 
 BOOST_HANA_ADAPT_STRUCT(dockrock::PrefixPart, name, tokens);
 BOOST_HANA_ADAPT_STRUCT(
-    dockrock::TicketBody, model, kind, prompt, tenant, weights, identity, prefix, max_tokens, slots,
+    dockrock::InferenceBody, model, kind, prompt, tenant, weights, identity, prefix, max_tokens, slots,
     deadline_milliseconds, run_once);
