--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 // Prompt tokens placed there by anyone whose reading is not known to be over.
-auto BurdenTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
     if (now - state.told_oldest <= options.digest_lost) return sum + state.told_unread;
     for (auto const& item : state.told)
@@ -13,7 +13,7 @@
     return sum;
 }
 
-auto BurdenTable::outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes {
+auto ReplicaLoadTable::outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes {
     auto sum = Outcomes{};
     for (auto const& outcome : state.outcomes) {
         if (now - outcome.at > outcome_window) continue;
@@ -32,17 +32,18 @@
     return sum;
 }
 
-auto BurdenTable::judge_health(Microseconds now) -> void {
+auto ReplicaLoadTable::judge_health(Microseconds now) -> void {
     if (!options.eject_failing) return;
     for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
 }
 
-auto BurdenTable::check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter {
+auto ReplicaLoadTable::check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const
+    -> Filter {
     auto const result = check_apart_from_health(state, ticket, now);
     return result == Filter::passed && !state.health.usable(now) ? Filter::failing : result;
 }
 
-auto BurdenTable::check_apart_from_health(
+auto ReplicaLoadTable::check_apart_from_health(
     ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter {
     if (state.entry.drain) return Filter::available;
     if (state.unreachable || now < state.unreachable_until) return Filter::reachable;
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -5,7 +5,7 @@
 
 namespace dockrock {
 
-auto BurdenTable::take_list(ReplicaList const& list) -> void {
+auto ReplicaLoadTable::take_list(ReplicaList const& list) -> void {
     std::set<std::string> named;
     for (auto const& entry : list.replicas) {
         named.insert(entry.name);
@@ -26,7 +26,8 @@
     make_pools();
 }
 
-auto BurdenTable::take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void {
+auto ReplicaLoadTable::take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at)
+    -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
@@ -61,7 +62,7 @@
     state.sum_told();
 }
 
-auto BurdenTable::report_failed(std::string const& name, Microseconds now) -> void {
+auto ReplicaLoadTable::report_failed(std::string const& name, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     found->second.unreachable = true;
@@ -69,8 +70,8 @@
     found->second.kept_unsure = true;
 }
 
-auto BurdenTable::take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now)
-    -> void {
+auto ReplicaLoadTable::take_digest(
+    std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void {
     auto& digest = others[node];
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
@@ -86,7 +87,7 @@
 }
 
 // What this node tells of its own placements, replica by replica.
-auto BurdenTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>> {
+auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>> {
     std::vector<std::pair<std::string, OtherBurden>> told;
     for (auto& [name, state] : replicas) {
         if (!state.recent.empty()) std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
@@ -107,13 +108,13 @@
     return told;
 }
 
-auto BurdenTable::make_digest(Microseconds now) -> std::string {
+auto ReplicaLoadTable::make_digest(Microseconds now) -> std::string {
     json::object told;
     for (auto const& [name, item] : own_load(now)) told[name] = write_json(item);
     return json::serialize(told);
 }
 
-auto BurdenTable::place(
+auto ReplicaLoadTable::place(
     std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread)
     -> void {
     auto& state = replicas.at(name);
@@ -128,11 +129,11 @@
     ++state.untold;
 }
 
-auto BurdenTable::release(std::string const& name, std::uint64_t ticket) -> void {
+auto ReplicaLoadTable::release(std::string const& name, std::uint64_t ticket) -> void {
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(ticket);
 }
 
-auto BurdenTable::first_output(std::string const& name, std::uint64_t ticket) -> void {
+auto ReplicaLoadTable::first_output(std::string const& name, std::uint64_t ticket) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
@@ -141,12 +142,12 @@
     state.placed_unread -= std::exchange(placed->second.unread, 0);
 }
 
-auto BurdenTable::ended(std::string const& name, bool failed, Microseconds now) -> void {
+auto ReplicaLoadTable::ended(std::string const& name, bool failed, Microseconds now) -> void {
     if (auto const found = replicas.find(name); found != replicas.end())
         found->second.outcomes.push_back({now, failed});
 }
 
-auto BurdenTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept)
+auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept)
     -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
@@ -154,11 +155,11 @@
     else found->second.parts.erase(part ^ weights_mark);
 }
 
-auto BurdenTable::forget_parts(std::string const& name) -> void {
+auto ReplicaLoadTable::forget_parts(std::string const& name) -> void {
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.parts.clear();
 }
 
-auto BurdenTable::kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
+auto ReplicaLoadTable::kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
     if (ticket.parts_alone) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
@@ -178,7 +179,7 @@
 }
 
 // What is known of a replica's weights where it reports nothing else.
-auto BurdenTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
+auto ReplicaLoadTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
@@ -195,7 +196,7 @@
 }
 
 // A replica's own word that it did not run something, and why.
-auto BurdenTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
+auto ReplicaLoadTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -136,7 +136,7 @@
     std::string_view body;
 };
 
-struct BurdenTable {
+struct ReplicaLoadTable {
     SchedulingOptions options;
     std::string self;
     std::map<std::string, ReplicaState> replicas;
@@ -169,9 +169,9 @@
     Summed summed;
     std::deque<std::pair<std::uint64_t, Loads>> own_told;
 
-    BurdenTable() = default;
-    BurdenTable(BurdenTable&&) = default;  // `pools` points into `replicas`: moved, never copied
-    auto operator=(BurdenTable&&) -> BurdenTable& = default;
+    ReplicaLoadTable() = default;
+    ReplicaLoadTable(ReplicaLoadTable&&) = default;  // `pools` points into `replicas`: moved, never copied
+    auto operator=(ReplicaLoadTable&&) -> ReplicaLoadTable& = default;
 
     auto take_list(ReplicaList const& list) -> void;
     auto take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void;
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -35,7 +35,7 @@
 namespace {
 
 // Each node tells of a replica once; its order for the last places stays.
-auto tell(ReplicaState& state, std::string const& node, BurdenTable::Digest const& digest, OtherBurden const& item)
+auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, OtherBurden const& item)
     -> void {
     auto found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
@@ -69,14 +69,14 @@
 }  // namespace
 
 // A replica that was not listed before: others may have told of it already.
-auto BurdenTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
+auto ReplicaLoadTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
     state.seed = hash_text(name);
     for (auto const& [node, digest] : others)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
             tell(state, node, digest, found->second);
 }
 
-auto BurdenTable::take_told(
+auto ReplicaLoadTable::take_told(
     std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at) -> void {
     if (digest.node == 0) digest.node = ++nodes_told;
     auto const was_active = !digest.replicas.empty();
@@ -96,7 +96,7 @@
 
 // A digest that is lost counts for nothing: what it said is dropped, its number
 // is kept, so that an older one is still known as such. Now and then only.
-auto BurdenTable::forget_lost(Microseconds now) -> void {
+auto ReplicaLoadTable::forget_lost(Microseconds now) -> void {
     if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
     for (auto& [node, digest] : others)
@@ -107,18 +107,18 @@
     for (auto& [name, state] : replicas) state.sum_told();
 }
 
-auto BurdenTable::make_pools() -> void {
+auto ReplicaLoadTable::make_pools() -> void {
     pools.clear();
     for (auto const& [name, state] : replicas) pools[state.entry.model].push_back(&state);
 }
 
-auto BurdenTable::pool(std::string_view model) const -> std::vector<ReplicaState const*> const& {
+auto ReplicaLoadTable::pool(std::string_view model) const -> std::vector<ReplicaState const*> const& {
     static auto const none = std::vector<ReplicaState const*>();
     auto const found = pools.find(model);
     return found == pools.end() ? none : found->second;
 }
 
-auto BurdenTable::active_nodes(Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::active_nodes(Microseconds now) const -> std::int64_t {
     auto count = std::int64_t{1};
     // A relay's silence is not its nodes' end: without a sum they are taken to be there.
     if (relayed) count += summed_lost(now) ? std::max(summed.nodes, fleet_nodes - 1) : summed.nodes;
@@ -128,7 +128,7 @@
     return count;
 }
 
-auto BurdenTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_slots + (relayed && !summed_lost(now) ? state.summed.slots : 0);
     if (now - state.told_oldest <= options.digest_lost) return sum + state.told_slots;
     for (auto const& item : state.told)
@@ -138,7 +138,7 @@
 
 // What others may have placed since they last told: their recent rate over the
 // digest's age, and the rest of their slice once it is old (design 9.4).
-auto BurdenTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = std::int64_t{0};
     auto slice = std::int64_t{-1};
     for (auto const& item : state.told) {
@@ -156,7 +156,7 @@
     return sum + summed_reserve(state, slice, now);
 }
 
-auto BurdenTable::free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto free = state.entry.memory - state.placed_memory;
     auto reported = (state.report ? state.report->free_memory : 0) - state.placed_since;
     if (relayed && !summed_lost(now)) {
@@ -177,7 +177,7 @@
 
 // How many other nodes come before this one for a replica's last places: those
 // with the fewest there first, since a fixed order starves a node.
-auto BurdenTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const mine = hash_text(self, state.seed);
     auto rank = std::int64_t{0};
     if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some of them are lost
@@ -209,7 +209,7 @@
 // Running no greater than four times the capacity, as the design asks; and
 // where little is left, the last places go to nodes by their rank for this
 // replica, one each between digests, so that not all take the same place.
-auto BurdenTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
+auto ReplicaLoadTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
     auto const limit = options.multiplier * state.entry.capacity;
     auto const known = running(state, now);
     auto const left = limit + 1 - known;
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -10,7 +10,7 @@
 constexpr auto words_kept = std::size_t{16};
 }
 
-auto BurdenTable::make_told(std::uint64_t number, Microseconds now) -> std::string {
+auto ReplicaLoadTable::make_told(std::uint64_t number, Microseconds now) -> std::string {
     Loads told;
     for (auto& [name, item] : own_load(now))
         told.push_back(
@@ -24,7 +24,7 @@
 }
 
 // The sum of all, less this node's own word that is in it.
-auto BurdenTable::take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void {
+auto ReplicaLoadTable::take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void {
     auto const same = relay == summed.relay;
     if (same && told.number < summed.number && now - summed.at <= options.digest_old) return;  // a late one
     if (told.base != 0 && (!same || told.base != summed.number)) return;                       // of no sum held
@@ -53,13 +53,13 @@
     judge_health(now);
 }
 
-auto BurdenTable::summed_lost(Microseconds now) const -> bool {
+auto ReplicaLoadTable::summed_lost(Microseconds now) const -> bool {
     return summed.number == 0 || now - summed.at > options.digest_lost;
 }
 
 // As for single digests: their rate since they told, or the rest of their slices
 // where their word is old. Without a sum all but this node's slice is theirs.
-auto BurdenTable::summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const
+auto ReplicaLoadTable::summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const
     -> std::int64_t {
     if (summed_lost(now)) return std::max<std::int64_t>(0, options.multiplier * state.entry.capacity + 1 - slice);
     auto const& load = state.summed;
@@ -70,14 +70,15 @@
 }
 
 // Own placements that no sum held shows yet.
-auto BurdenTable::unseen(ReplicaState const& state) const -> std::int64_t {
+auto ReplicaLoadTable::unseen(ReplicaState const& state) const -> std::int64_t {
     auto const seen = static_cast<Microseconds>(summed.echo);
     return std::count_if(state.recent.begin(), state.recent.end(), [&](auto at) { return at > seen; });
 }
 
 // How many of the nodes in the sum come before this one for a replica's last
 // places. Who has how many there is not told: taken as spread evenly.
-auto BurdenTable::summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const
+    -> std::int64_t {
     auto const nodes = static_cast<double>(active_nodes(now) - 1 - others_active);
     auto const order = static_cast<double>(hash_text(self, state.seed) >> 11U) / static_cast<double>(1ULL << 53U);
     auto const known = !summed_lost(now);
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -94,7 +94,7 @@
 
 struct Granting {
     SchedulingOptions options;
-    BurdenTable burden;
+    ReplicaLoadTable burden;
     std::map<std::string, ModelBuffer> buffers;
     std::size_t buffer_length = 256;
     TryBudget budget;
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-auto plain_active(BurdenTable const& table, Microseconds now) -> std::int64_t {
+auto plain_active(ReplicaLoadTable const& table, Microseconds now) -> std::int64_t {
     auto count = std::int64_t{1};
     for (auto const& [node, digest] : table.others)
         if (now - digest.at < table.options.digest_lost && !digest.replicas.empty()) ++count;
     return count;
 }
 
-auto plain_running(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
+auto plain_running(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     for (auto const& [ticket, placed] : state.placed) sum += placed.slots;
     for (auto const& [node, digest] : table.others) {
@@ -25,7 +25,7 @@
     return sum;
 }
 
-auto plain_reserve(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
+auto plain_reserve(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     auto const limit = table.options.multiplier * state.entry.capacity;
     for (auto const& [node, digest] : table.others) {
@@ -40,7 +40,7 @@
     return sum;
 }
 
-auto plain_free(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
+auto plain_free(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto free = state.entry.memory;
     auto reported = state.report ? state.report->free_memory : 0;
     for (auto const& [ticket, placed] : state.placed) {
@@ -59,7 +59,7 @@
     return std::min(free, reported);
 }
 
-auto plain_room(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> bool {
+auto plain_room(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> bool {
     auto const limit = table.options.multiplier * state.entry.capacity;
     auto const known = plain_running(table, state, now);
     auto const left = limit + 1 - known;
@@ -86,7 +86,7 @@
 // Moves of one table, drawn from a seed.
 struct Moves {
     Random random;
-    BurdenTable table;
+    ReplicaLoadTable table;
     Microseconds now = 10 * one_second;
     std::uint64_t next_ticket = 1;
     std::vector<std::pair<std::string, std::uint64_t>> placed;
--- a/tests/hollow/load.hpp
+++ b/tests/hollow/load.hpp
@@ -27,7 +27,7 @@
 struct LoadSource {
     LoadShape shape;
     Random random;
-    BurdenTable table;
+    ReplicaLoadTable table;
     std::uint64_t next_number = 1;
     double owed = 0.0;  // requests due and not yet placed
     Microseconds at = 0;
--- a/tests/load_net.hpp
+++ b/tests/load_net.hpp
@@ -9,7 +9,7 @@
 struct Net {
     struct Node {
         Member self;
-        BurdenTable table;
+        ReplicaLoadTable table;
         LoadRelayChoice choice;
         Microseconds told_at = 0;
         std::vector<std::pair<std::string, std::uint64_t>> placed;
