--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 auto Node::release(std::string const& replica, std::uint64_t ticket) -> void {
-    table.with([&](Granting& granting) { granting.burden.release(replica, ticket); });
+    table.with([&](Scheduler& granting) { granting.burden.release(replica, ticket); });
 }
 
 // For the last checks. They hold what matching held: a try that matching allows
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -28,7 +28,7 @@
 }
 
 // Replicas that pass all filters. Where only failing ones would, they are better than none.
-auto Granting::candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
+auto Scheduler::candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
     for (auto const* state : burden.pool(waiting.ticket.body.model)) {
@@ -46,7 +46,7 @@
     return passed;
 }
 
-auto Granting::choose(Waiting& waiting, Microseconds now) -> ReplicaState const* {
+auto Scheduler::choose(Waiting& waiting, Microseconds now) -> ReplicaState const* {
     auto const found = candidates(waiting, now);
     if (found.empty()) return nullptr;
     auto const prompt = waiting.ticket.prompt_tokens + waiting.ticket.prefix_tokens;
@@ -55,7 +55,7 @@
 }
 
 // Running over capacity, in steps where options say so; ties go to the longest kept prefix, then to a hash.
-auto Granting::least_requests(
+auto Scheduler::least_requests(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
     -> ReplicaState const* {
     auto const seed = options.work_outstanding ? spreading_seed(ticket, burden.self)
@@ -88,7 +88,7 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Granting::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
+auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
     auto runs = KeptRuns{weights_mark};
     for (auto const* state : burden.pool(ticket.body.model)) {
         if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
@@ -108,7 +108,7 @@
 }
 
 // The least work to wait for before the first token; ties go by the hash of the shared prefix.
-auto Granting::least_work(
+auto Scheduler::least_work(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
     -> ReplicaState const* {
     auto const seed = spreading_seed(ticket, burden.self);
@@ -146,13 +146,13 @@
 }
 
 // Tokens a second: what was observed of the service, else the default.
-auto Granting::reading_rate(std::string const& model) const -> double {
+auto Scheduler::reading_rate(std::string const& model) const -> double {
     auto const found = options.observe_rates ? reading_rates.find(model) : reading_rates.end();
     auto const observed = found == reading_rates.end() ? std::nullopt : found->second.observed();
     return observed.value_or(options.recompute_tokens_each_second);
 }
 
-auto Granting::first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void {
+auto Scheduler::first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void {
     burden.first_output(placement.replica, ticket.number);
     // What waited behind other prompts says nothing of the speed of reading.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/entry_table.hpp
@@ -24,7 +24,7 @@
     };
 
     typename Primitives::Mutex lock;
-    Granting granting;
+    Scheduler granting;
     std::map<std::uint64_t, Entry> entries;
 
     // `avoid` names the replica of an earlier try that did not run; then the
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -5,14 +5,14 @@
 
 // What was measured on that link, for a while; then the default is tried again,
 // so that a link that was slow once is not left unused for ever.
-auto Granting::link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double {
+auto Scheduler::link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double {
     auto const found = link_speeds.find({source, target});
     if (found == link_speeds.end() || now - found->second.at > options.link_memory)
         return options.fetch_tokens_each_second;
     return found->second.rate;
 }
 
-auto Granting::fetched(
+auto Scheduler::fetched(
     std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
     -> void {
     if (took <= 0 || source.empty()) return;
@@ -22,7 +22,7 @@
     link_speeds[{source, target}] = {tokens > 0 ? before * 0.5 + seen * 0.5 : before * 0.5, now};
 }
 
-auto Granting::plan_fetch(
+auto Scheduler::plan_fetch(
     ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) const
     -> FetchPlan {
     FetchPlan best;
@@ -47,7 +47,7 @@
 
 // Single parts: from whichever peer or store keeps the longest run beyond what
 // the target keeps, the nearer first; what no store keeps yet is sent to one.
-auto Granting::plan_parts(
+auto Scheduler::plan_parts(
     ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) -> FetchPlan {
     FetchPlan best;
     auto best_near = false;
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -11,29 +11,29 @@
 }
 }  // namespace
 
-auto Granting::waiting_count() const -> std::size_t {
+auto Scheduler::waiting_count() const -> std::size_t {
     auto count = std::size_t{0};
     for (auto const& [model, buffer] : buffers) count += buffer.waiting.size();
     return count;
 }
 
-auto Granting::retry_after(ModelBuffer const& buffer) const -> std::int64_t {
+auto Scheduler::retry_after(ModelBuffer const& buffer) const -> std::int64_t {
     if (buffer.drain_rate <= 0.01) return buffer.waiting.empty() ? 1 : 5;
     auto const seconds = static_cast<double>(buffer.waiting.size()) / buffer.drain_rate;
     return std::clamp<std::int64_t>(static_cast<std::int64_t>(std::ceil(seconds)), 1, 30);
 }
 
-auto Granting::shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void {
+auto Scheduler::shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void {
     ++shed_counts[static_cast<std::size_t>(reason)];
     decisions.sheds.push_back({ticket, reason, retry_after(buffer)});
 }
 
-auto Granting::expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds {
+auto Scheduler::expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds {
     // Half the usual time: only the hopeless are given up (design 9.5).
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
 }
 
-auto Granting::enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
+auto Scheduler::enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
     if (!ticket.counted) budget.ticket_came();
     auto& buffer = buffers[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
@@ -60,18 +60,18 @@
 
 // Only for a ticket that is known not to have run. Its extra try waits for the
 // budget a little; what the budget can't pay in time is given up (design 10.4).
-auto Granting::enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
+auto Scheduler::enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
     buffers[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
 
-auto Granting::withdraw(std::uint64_t ticket) -> bool {
+auto Scheduler::withdraw(std::uint64_t ticket) -> bool {
     for (auto& [model, buffer] : buffers)
         if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.ticket.number == ticket; }) > 0)
             return true;
     return false;
 }
 
-auto Granting::share_factor(std::string const& tenant, int share, Microseconds now) const -> double {
+auto Scheduler::share_factor(std::string const& tenant, int share, Microseconds now) const -> double {
     auto all_usage = 0.0;
     auto all_shares = 0.0;
     auto mine = 0.0;
@@ -95,7 +95,7 @@
 
 // (declared + wait) / declared, the paper's ratio with max tokens as the
 // declared size; share and rank bend it within bounds (design 9.2).
-auto Granting::score(Waiting const& waiting, Microseconds now) const -> double {
+auto Scheduler::score(Waiting const& waiting, Microseconds now) const -> double {
     auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.ticket.body.max_tokens));
     auto const wait = static_cast<double>(now - waiting.since) / 1'000'000.0 * options.wait_token_rate;
     auto const rank = 1.0 + options.rank_weight * static_cast<double>(waiting.ticket.rank) / 9.0;
@@ -103,7 +103,7 @@
 }
 
 // Takes a place for the request there, with what is known of it now.
-auto Granting::place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
+auto Scheduler::place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
     auto const& ticket = waiting.ticket;
     auto placement = Placement{
         ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
@@ -127,7 +127,7 @@
     return placement;
 }
 
-auto Granting::match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions)
+auto Scheduler::match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions)
     -> void {
     auto const& pool = burden.pool(model);
     auto const any_replica = std::any_of(
@@ -179,7 +179,7 @@
     });
 }
 
-auto Granting::match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
+auto Scheduler::match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
     if (proof_age > proof_shed_limit) {
         for (auto& [model, buffer] : buffers) {
             for (auto const& item : buffer.waiting) shed(decisions, buffer, item.ticket.number, ShedReason::not_fresh);
@@ -192,7 +192,7 @@
         if (!buffer.waiting.empty()) match_model(model, buffer, now, decisions);
 }
 
-auto Granting::finished(
+auto Scheduler::finished(
     std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now, bool answered)
     -> void {
     (void)now;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -92,7 +92,7 @@
     Microseconds empty_pool_since = 0;
 };
 
-struct Granting {
+struct Scheduler {
     SchedulingOptions options;
     ReplicaLoadTable burden;
     std::map<std::string, ModelBuffer> buffers;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -63,8 +63,8 @@
 }
 
 // A granting table over replicas r0, r1, ... of model "large", all reported.
-inline auto make_granting(std::size_t replicas, std::int64_t capacity = 2, std::int64_t memory = 100'000) -> Granting {
-    Granting granting;
+inline auto make_granting(std::size_t replicas, std::int64_t capacity = 2, std::int64_t memory = 100'000) -> Scheduler {
+    Scheduler granting;
     granting.burden.self = "self";
     ReplicaList list;
     for (auto number = std::size_t{0}; number < replicas; ++number) {
@@ -81,13 +81,13 @@
     return granting;
 }
 
-inline auto enter(Granting& granting, InferenceRequest const& ticket, Microseconds now) -> Decisions {
+inline auto enter(Scheduler& granting, InferenceRequest const& ticket, Microseconds now) -> Decisions {
     Decisions decisions;
     granting.enter(ticket, now, decisions);
     return decisions;
 }
 
-inline auto match(Granting& granting, Microseconds now, Microseconds proof_age = 0) -> Decisions {
+inline auto match(Scheduler& granting, Microseconds now, Microseconds proof_age = 0) -> Decisions {
     Decisions decisions;
     granting.match(now, proof_age, decisions);
     return decisions;
--- a/tests/hollow/load.cpp
+++ b/tests/hollow/load.cpp
@@ -77,8 +77,8 @@
     return request;
 }
 
-auto ready_granting(LoadShape const& shape, ReplicaList const& list) -> Granting {
-    Granting granting;
+auto ready_granting(LoadShape const& shape, ReplicaList const& list) -> Scheduler {
+    Scheduler granting;
     granting.burden.self = node_name(0);
     granting.options.load_steps = granting.burden.options.load_steps = 8;
     granting.burden.take_list(list);
--- a/tests/hollow/load.hpp
+++ b/tests/hollow/load.hpp
@@ -20,7 +20,7 @@
 auto node_name(std::size_t index) -> std::string;
 auto replica_list(LoadShape const& shape, Random& random) -> ReplicaList;
 auto request_of(LoadShape const& shape, std::uint64_t number, Random& random) -> InferenceRequest;
-auto ready_granting(LoadShape const& shape, ReplicaList const& list) -> Granting;
+auto ready_granting(LoadShape const& shape, ReplicaList const& list) -> Scheduler;
 
 // One admitting node with its requests under way, placed at random: enough for
 // what it tells others.
--- a/tests/hollow/slopes.cpp
+++ b/tests/hollow/slopes.cpp
@@ -18,7 +18,7 @@
     auto const whole = processor_nanoseconds();
     auto const before = live_bytes(measured_account);
     auto setting_up = std::int64_t{0};
-    auto measured = Granting();
+    auto measured = Scheduler();
     {
         auto const watch = Stopwatch(setting_up, measured_account);
         measured = ready_granting(shape, list);
--- a/tests/interleaving_test.cpp
+++ b/tests/interleaving_test.cpp
@@ -25,11 +25,11 @@
 // As careless code would do it: look, let go of the lock, then take out.
 auto careless_abandon(Table& table, std::uint64_t number) -> void {
     auto placement = std::optional<Placement>();
-    table.with([&](Granting&) {
+    table.with([&](Scheduler&) {
         if (auto const found = table.entries.find(number); found != table.entries.end())
             placement = found->second.placement;
     });
-    if (placement) table.with([&](Granting& granting) { granting.burden.release(placement->replica, number); });
+    if (placement) table.with([&](Scheduler& granting) { granting.burden.release(placement->replica, number); });
     table.leave(number);
 }
 
@@ -46,7 +46,8 @@
             [scene, abandon] { abandon(scene->table, 1); },
             [scene] { scene->table.match(20, 0); },
             [scene] {
-                scene->table.with([](Granting& granting) { granting.burden.take_report("r0", report_of(50'000), 15); });
+                scene->table.with(
+                    [](Scheduler& granting) { granting.burden.take_report("r0", report_of(50'000), 15); });
             },
         };
         return std::pair(bodies, std::function<bool()>([scene] { return nothing_left(*scene, 0); }));
@@ -85,7 +86,7 @@
             [one] { one(1); },
             [one] { one(2); },
             [scene] {
-                scene->table.with([](Granting& granting) { granting.finished("r0", make_ticket(100), 10, 10, true); });
+                scene->table.with([](Scheduler& granting) { granting.finished("r0", make_ticket(100), 10, 10, true); });
                 scene->table.match(11, 0);
             },
         };
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // A granting table that chooses by work, as relaying nodes do.
-auto make_by_work(std::size_t replicas, std::int64_t capacity = 128) -> Granting {
+auto make_by_work(std::size_t replicas, std::int64_t capacity = 128) -> Scheduler {
     auto granting = make_granting(replicas, capacity, 1'000'000);
     auto options = granting.options;
     options.work_outstanding = true;
@@ -33,7 +33,7 @@
     return ticket;
 }
 
-auto placed_at(Granting& granting, InferenceRequest const& ticket, Microseconds now) -> std::string {
+auto placed_at(Scheduler& granting, InferenceRequest const& ticket, Microseconds now) -> std::string {
     enter(granting, ticket, now);
     return match(granting, now).placements.at(0).replica;
 }
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -79,7 +79,7 @@
 };
 
 struct DataPlane {
-    Granting granting;
+    Scheduler granting;
     SnapshotPointer snapshot = std::make_shared<Snapshot>(Snapshot{std::make_shared<Rules>(), {}, {}, {}});
     std::map<std::uint64_t, CourseRun> courses;
     Orders orders;
