--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -76,7 +76,7 @@
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
     if (!parsed) return;
-    std::map<std::string, OtherBurden> told;
+    std::map<std::string, ReplicaLoad> told;
     Problems problems;
     read_json(*parsed, told, "", problems);
     if (!problems.empty()) return;
@@ -87,8 +87,8 @@
 }
 
 // What this node tells of its own placements, replica by replica.
-auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>> {
-    std::vector<std::pair<std::string, OtherBurden>> told;
+auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>> {
+    std::vector<std::pair<std::string, ReplicaLoad>> told;
     for (auto& [name, state] : replicas) {
         if (!state.recent.empty()) std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
         state.untold = 0;
@@ -98,7 +98,7 @@
             state.outcomes.begin(), state.outcomes.end(), [](auto const& outcome) { return outcome.failed; });
         told.emplace_back(
             name,
-            OtherBurden{
+            ReplicaLoad{
                 static_cast<std::int64_t>(state.placed.size()), state.placed_slots, state.placed_memory,
                 static_cast<std::int64_t>(state.recent.size()), state.placed_unread,
                 static_cast<std::int64_t>(state.outcomes.size()), failed});
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -52,7 +52,7 @@
 inline constexpr auto filter_names = std::to_array<std::string_view>(
     {"available", "reachable", "busy", "memory", "capacity", "weights", "failing", "passed"});
 
-struct OtherBurden {
+struct ReplicaLoad {
     std::int64_t count = 0;
     std::int64_t slots = 0;
     std::int64_t memory = 0;
@@ -145,7 +145,7 @@
         std::uint64_t node = 0;  // stands for the node's name in ReplicaState::Told
         std::uint64_t number = 0;
         Microseconds at = 0;
-        std::map<std::string, OtherBurden> replicas;
+        std::map<std::string, ReplicaLoad> replicas;
     };
     std::map<std::string, Digest> others;
     std::int64_t others_active = 0;  // whose digest names a replica
@@ -213,11 +213,11 @@
    private:
     auto tell_of(std::string const& name, ReplicaState& state) const -> void;
     auto judge_health(Microseconds now) -> void;
-    auto take_told(std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at)
+    auto take_told(std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at)
         -> void;
     auto forget_lost(Microseconds now) -> void;
     auto make_pools() -> void;
-    auto own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>>;
+    auto own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>>;
     auto summed_lost(Microseconds now) const -> bool;
     auto summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const -> std::int64_t;
     auto summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t;
@@ -236,4 +236,4 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::PrefixEvent, number, kind, chain);
 BOOST_HANA_ADAPT_STRUCT(
     dockrock::ReplicaReport, incarnation, weights, changing, free_memory, fence, first_event, next_event, events);
-BOOST_HANA_ADAPT_STRUCT(dockrock::OtherBurden, count, slots, memory, recent, unread, ended, failed);
+BOOST_HANA_ADAPT_STRUCT(dockrock::ReplicaLoad, count, slots, memory, recent, unread, ended, failed);
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -35,7 +35,7 @@
 namespace {
 
 // Each node tells of a replica once; its order for the last places stays.
-auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, OtherBurden const& item)
+auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, ReplicaLoad const& item)
     -> void {
     auto found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
@@ -77,7 +77,7 @@
 }
 
 auto ReplicaLoadTable::take_told(
-    std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at) -> void {
+    std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void {
     if (digest.node == 0) digest.node = ++nodes_told;
     auto const was_active = !digest.replicas.empty();
     digest.at = at;
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -109,7 +109,7 @@
     }
     auto digest() -> void {
         auto const node = "node-" + std::to_string(random.below(9));
-        std::map<std::string, OtherBurden> told;
+        std::map<std::string, ReplicaLoad> told;
         for (auto count = random.below(6); count > 0; --count) {
             auto const some = static_cast<std::int64_t>(random.below(4));
             told[replica()] = {
