--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -215,7 +215,7 @@
     std::uint64_t number = 0;
 };
 // granting entry and prefix digests (design 9)
-struct BurdenDigest {
+struct LoadDigest {
     std::uint64_t number = 0;
     std::string body;
 };
@@ -223,7 +223,7 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, NewsAnswer, CallForward, CallAnswer,
-    BurdenDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
     LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -28,7 +28,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::Call, partition, identity, operation, if_match, body, base);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CallForward, token, hops, origin, call);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CallAnswer, token, status, body, etag);
-BOOST_HANA_ADAPT_STRUCT(dockrock::BurdenDigest, number, body);
+BOOST_HANA_ADAPT_STRUCT(dockrock::LoadDigest, number, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimAsk, partition, token, key, ticket, release);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimAnswer, partition, token, term, state);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimFlight, partition, record, life, number, claims);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -51,10 +51,10 @@
 struct ControlOutput {
     AddressedMessages sends;
     std::vector<Save> saves;
-    std::vector<CallDone> results;                              // for calls made at this node
-    std::vector<std::pair<std::string, BurdenDigest>> digests;  // from other admitting nodes
-    std::vector<std::pair<std::string, LoadSum>> load_sums;     // from the relay
-    std::vector<KeptFeed::Taken> kept;                          // changes of kept prompts, in order
+    std::vector<CallDone> results;                            // for calls made at this node
+    std::vector<std::pair<std::string, LoadDigest>> digests;  // from other admitting nodes
+    std::vector<std::pair<std::string, LoadSum>> load_sums;   // from the relay
+    std::vector<KeptFeed::Taken> kept;                        // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
     std::vector<NewsNote> notes;  // for the log
     bool news = false;            // something a snapshot is made of changed
@@ -162,7 +162,7 @@
     auto on(Arrival const& arrival, ProbeFor const& probe) -> void;
     auto on(Arrival const& arrival, NewsAsk const& ask) -> void;
     auto on(Arrival const& arrival, NewsAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, BurdenDigest const& digest) -> void;
+    auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
     auto on(Arrival const& arrival, LoadTold const& told) -> void;
     auto on(Arrival const& arrival, LoadShare const& share) -> void;
     auto on(Arrival const& arrival, LoadSum const& sum) -> void;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -50,7 +50,7 @@
     take_news(arrival.now, answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, BurdenDigest const& digest) -> void {
+auto Control::on(Arrival const& arrival, LoadDigest const& digest) -> void {
     arrival.output.digests.emplace_back(arrival.from, digest);
 }
 
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -166,7 +166,7 @@
     ControlOutput output;
     for (auto const& member : membership.alive_members(false))
         if (member.identity != membership.self.identity && !resting_nodes.contains(member.identity))
-            output.sends.push_back({member.control_address, BurdenDigest{number, body}});
+            output.sends.push_back({member.control_address, LoadDigest{number, body}});
     return output;
 }
 
