--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -66,7 +66,7 @@
     Random random;
     Membership membership;
     std::array<Partition, partition_count> partitions;
-    std::array<PartitionNews, partition_count> news;
+    std::array<PartitionView, partition_count> news;
     std::array<PartitionWatch, partition_count> watches;
     struct WaitingAsk {
         std::string address;
@@ -185,16 +185,16 @@
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
     auto ask_news(Microseconds now, ControlOutput& output) -> void;
     auto answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void;
-    auto next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool;
+    auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
     auto take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
     auto take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
     auto take_answer(
-        Microseconds now, PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+        Microseconds now, PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
-    auto take_copy(Microseconds now, PartitionNews& item, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_live(PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output) -> void;
+    auto take_copy(Microseconds now, PartitionView& item, NewsAnswer const& answer, ControlOutput& output) -> void;
+    auto take_live(PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output) -> void;
     auto learn_namings(int partition, Microseconds now) -> void;
     auto ask_namings(Microseconds now, ControlOutput& output) -> void;
     auto take_namings(Microseconds now, std::string const& address, NamingAges const& told, ControlOutput& output)
@@ -203,9 +203,9 @@
     auto hold_limit(int partition) const -> Microseconds {
         return partition == configuration_partition ? times.hold_limit : times.service_hold_limit;
     }
-    auto ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool;
-    auto news_target(PartitionNews& item, int partition, Microseconds now) -> std::string;
-    auto other_target(PartitionNews const& item, std::string const& asked) -> std::string;
+    auto ask_overdue(PartitionView& item, int partition, Microseconds now, ControlOutput& output) -> bool;
+    auto news_target(PartitionView& item, int partition, Microseconds now) -> std::string;
+    auto other_target(PartitionView const& item, std::string const& asked) -> std::string;
     auto send_call(Microseconds now, std::uint64_t token, PendingCall& pending, ControlOutput& output) -> void;
     auto on_call_forward(Microseconds now, CallForward const& forward, ControlOutput& output) -> void;
     auto next_hop(PendingCall const& pending) -> std::string;
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -42,7 +42,7 @@
 
 // After an answer that was held the next question is held as well; so it is at
 // a relay with a fresh proof, which answers with what it hears from the leader.
-auto Control::next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool {
+auto Control::next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool {
     auto const relayed = item.asked_relay && now - item.proven_at < hold_limit(partition);
     return relayed || now - item.asked_at > hold_limit(partition) / 3;
 }
@@ -115,7 +115,7 @@
 
 // A proof counts from when its own question was asked, however late it comes; content that is newer is always taken.
 auto Control::take_answer(
-    Microseconds now, PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+    Microseconds now, PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
     if (answer.record.term > item.record.term) item.record = answer.record;
     take_copy(now, item, answer, output);
@@ -142,7 +142,7 @@
     take_answer(now, item, answer, asked->asked_at, output);
 }
 
-auto Control::take_copy(Microseconds now, PartitionNews& item, NewsAnswer const& answer, ControlOutput& output)
+auto Control::take_copy(Microseconds now, PartitionView& item, NewsAnswer const& answer, ControlOutput& output)
     -> void {
     if (!answer.copy || !(answer.copy->sequence > item.copy.sequence)) return;  // never back to an older one
     auto made = apply_news(item, *answer.copy);
@@ -156,7 +156,7 @@
     output.news = true;
 }
 
-auto Control::take_live(PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+auto Control::take_live(PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
     // A list is told apart by its digest: the same text is as fresh as its
     // freshest reading, another one is taken where it was read later (design 8.4).
@@ -173,7 +173,7 @@
 }
 
 // Whether the partition may be asked about now: nothing is under way, or too long.
-auto Control::ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool {
+auto Control::ask_overdue(PartitionView& item, int partition, Microseconds now, ControlOutput& output) -> bool {
     if (item.ask_token == 0) return true;
     if (now - item.asked_at < (partition == configuration_partition ? times.ask_limit : times.service_ask_limit))
         return false;
@@ -186,7 +186,7 @@
 }
 
 // A relay where there are many nodes; else the leader, or anyone where none is known.
-auto Control::news_target(PartitionNews& item, int partition, Microseconds now) -> std::string {
+auto Control::news_target(PartitionView& item, int partition, Microseconds now) -> std::string {
     item.asked_relay = false;
     if (load_choice.relayed && !settings.core && now >= item.direct_until) {
         auto const cores = membership.alive_members(true);
@@ -201,7 +201,7 @@
 }
 
 // Anyone but this node and the one that is asked already.
-auto Control::other_target(PartitionNews const& item, std::string const& asked) -> std::string {
+auto Control::other_target(PartitionView const& item, std::string const& asked) -> std::string {
     auto members = membership.alive_members(item.unanswered < 6);
     std::erase_if(members, [&](auto const& member) {
         return member.identity == membership.self.identity || member.control_address == asked;
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -13,20 +13,20 @@
 
 auto digest_of(std::string_view text) -> std::uint64_t { return text_digest(text); }
 
-auto pass_by(PartitionNews& item, bool answered) -> void {
+auto pass_by(PartitionView& item, bool answered) -> void {
     if (item.ask_token == 0) return;
     item.past_asks.push_back({item.ask_token, item.asked_whom, item.asked_at, answered});
     if (item.past_asks.size() > asks_kept) item.past_asks.pop_front();
     item.ask_token = 0;
 }
 
-auto past_ask(PartitionNews& item, std::uint64_t token) -> PastAsk* {
+auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk* {
     auto const found =
         std::find_if(item.past_asks.begin(), item.past_asks.end(), [&](auto const& ask) { return ask.token == token; });
     return found == item.past_asks.end() ? nullptr : &*found;
 }
 
-auto remember(PartitionNews& item) -> void {
+auto remember(PartitionView& item) -> void {
     if (item.copy.document.empty()) return;
     item.past.emplace_back(item.copy.sequence, item.copy.document);
     auto const bytes = [&] {
@@ -37,7 +37,7 @@
     while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
 }
 
-auto copy_for(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy {
+auto copy_for(PartitionView const& item, NewsAsk const& ask) -> NewsCopy {
     auto const& fresh = item.copy.document;
     auto const whole = [&] { return NewsCopy{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
     auto const held =
@@ -48,7 +48,7 @@
     return {item.copy.sequence, digest_of(fresh), false, "", std::move(edits)};
 }
 
-auto copy_told(PartitionNews& item, NewsAsk const& ask) -> NewsCopy {
+auto copy_told(PartitionView& item, NewsAsk const& ask) -> NewsCopy {
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
@@ -57,7 +57,7 @@
     return made;
 }
 
-auto apply_news(PartitionNews const& item, NewsCopy const& news) -> std::optional<std::string> {
+auto apply_news(PartitionView const& item, NewsCopy const& news) -> std::optional<std::string> {
     auto made = news.whole ? std::optional(news.text) : apply_edits(item.copy.document, news.edits);
     if (!made || digest_of(*made) != news.digest) return std::nullopt;
     return made;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -60,7 +60,7 @@
 };
 
 // What a node holds of a partition as news (design 8).
-struct PartitionNews {
+struct PartitionView {
     Record record;
     Copy copy;                                          // elsewhere than at the leader without outcomes
     std::deque<std::pair<Sequence, std::string>> past;  // documents held before, for differences
@@ -82,15 +82,15 @@
 
 auto digest_of(std::string_view text) -> std::uint64_t;
 // The question under way is no longer waited for; it stays remembered for a while.
-auto pass_by(PartitionNews& item, bool answered) -> void;
+auto pass_by(PartitionView& item, bool answered) -> void;
 // Of all that are remembered; null: no such question.
-auto past_ask(PartitionNews& item, std::uint64_t token) -> PastAsk*;
+auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk*;
 // Whole, or as the difference from what the asker holds, whichever is smaller.
-auto copy_for(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy;
+auto copy_for(PartitionView const& item, NewsAsk const& ask) -> NewsCopy;
 // The same; the difference that many ask for is made once.
-auto copy_told(PartitionNews& item, NewsAsk const& ask) -> NewsCopy;
+auto copy_told(PartitionView& item, NewsAsk const& ask) -> NewsCopy;
 // The document it makes; nothing where it does not fit what is held.
-auto apply_news(PartitionNews const& item, NewsCopy const& news) -> std::optional<std::string>;
-auto remember(PartitionNews& item) -> void;
+auto apply_news(PartitionView const& item, NewsCopy const& news) -> std::optional<std::string>;
+auto remember(PartitionView& item) -> void;
 
 }  // namespace dockrock
--- a/source/control/partition_watch.cpp
+++ b/source/control/partition_watch.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 auto PartitionWatch::look(
-    Partition const& partition, PartitionNews const& news, std::string const& self, Microseconds now) -> bool {
+    Partition const& partition, PartitionView const& news, std::string const& self, Microseconds now) -> bool {
     auto const leased = partition.has_lease(self, now);
     auto const& decided = partition.votes.decided;
     auto const known = std::max(decided.term, news.record.term);
@@ -16,7 +16,7 @@
     return content_kept(partition, news, leased && partition.committed) && terms;
 }
 
-auto PartitionWatch::content_kept(Partition const& partition, PartitionNews const& news, bool leased) -> bool {
+auto PartitionWatch::content_kept(Partition const& partition, PartitionView const& news, bool leased) -> bool {
     auto const& text = news.copy.document;
     auto const moved = news.copy.sequence != in_force;
     if (moved || text.data() != document) {
--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -80,7 +80,7 @@
 
 TEST_CASE("planted: a term that falls, and a lease beside a successor, are caught", "[invariants]") {
     auto const partition = leader();
-    auto news = PartitionNews();
+    auto news = PartitionView();
     auto watch = PartitionWatch();
     CHECK(watch.look(partition, news, self, now));
     {
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -134,7 +134,7 @@
         CHECK(make_snapshot(control, held)->rules == held.rules);
     }
     auto watch = PartitionWatch();
-    auto news = PartitionNews();
+    auto news = PartitionView();
     auto const partition = Partition();
     news.copy = {{1, 2}, std::string(100, 'a'), {}};
     CHECK(watch.look(partition, news, "self", 0));
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -50,7 +50,7 @@
         if (!document.empty()) given.copy = NewsCopy{sequence, digest_of(document), true, document, {}};
         take(control.receive(now, "leader", "leader", given));
     }
-    auto held() -> PartitionNews& { return control.news[0]; }
+    auto held() -> PartitionView& { return control.news[0]; }
 };
 
 }  // namespace
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -5,13 +5,13 @@
 using namespace dockrock::simulation;
 
 namespace {
-auto held(std::string document) -> PartitionNews {
-    PartitionNews item;
+auto held(std::string document) -> PartitionView {
+    PartitionView item;
     item.copy.sequence = {1, 1};
     item.copy.document = std::move(document);
     return item;
 }
-auto next_of(PartitionNews item, std::string document) -> PartitionNews {
+auto next_of(PartitionView item, std::string document) -> PartitionView {
     remember(item);
     ++item.copy.sequence.number;
     item.copy.document = std::move(document);
