--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -89,7 +89,7 @@
     co_return co_await run(request, std::move(judgement));
 }
 
-auto RelaySession::wait_for_place(Course& course) -> awaitable<CourseStep> {
+auto RelaySession::wait_for_place(Course& course) -> awaitable<LifecycleStep> {
     auto const number = course.ticket.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -36,9 +36,9 @@
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
     // Waits for a placement or a shedding; neither: the caller went away.
     auto wait_for_slot(std::shared_ptr<Slot> slot) -> awaitable<bool>;
-    auto enter_buffer(Course& course) -> awaitable<CourseStep>;
-    auto claim(Course& course) -> awaitable<CourseStep>;
-    auto send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep>;
+    auto enter_buffer(Course& course) -> awaitable<LifecycleStep>;
+    auto claim(Course& course) -> awaitable<LifecycleStep>;
+    auto send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<LifecycleStep>;
     auto log_ticket(InferenceRequest const& ticket, char const* event, std::string what, std::string replica) -> void;
 };
 
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -31,7 +31,7 @@
 }
 
 // Into the buffer, and out of it with a placement or a shedding.
-auto Session::enter_buffer(Course& course) -> awaitable<CourseStep> {
+auto Session::enter_buffer(Course& course) -> awaitable<LifecycleStep> {
     auto const number = course.ticket.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
@@ -56,7 +56,7 @@
     co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
 }
 
-auto Session::claim(Course& course) -> awaitable<CourseStep> {
+auto Session::claim(Course& course) -> awaitable<LifecycleStep> {
     auto const executor = co_await asio::this_coro::executor;
     auto const asked_at = clock_now();
     auto const done = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(ClaimDone)>(
@@ -75,7 +75,7 @@
     co_return course.claimed(done.state, done.term, asked_at, node.facts_for(course.placement.replica));
 }
 
-auto Session::send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep> {
+auto Session::send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<LifecycleStep> {
     ++node.counters.tries;
     auto const sent_at = clock_now();
     auto const replica = course.placement.replica;
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -40,8 +40,8 @@
 }
 
 // Once a try may have run, giving up is no longer a refusal (design 10.1).
-auto Course::give_up(std::string reason, std::int64_t retry_after) const -> CourseStep {
-    CourseStep step;
+auto Course::give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
+    LifecycleStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
     step.release_claim = claim_held && !history.may_have_run;
     step.reason = std::move(reason);
@@ -50,11 +50,11 @@
     return step;
 }
 
-auto Course::given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep {
+auto Course::given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
     return give_up(std::string(reason), retry_after);
 }
 
-auto Course::placed(Placement given, CourseFacts const& facts) -> CourseStep {
+auto Course::placed(Placement given, CourseFacts const& facts) -> LifecycleStep {
     placement = std::move(given);
     // A claim got long ago may have been forgotten since: a frozen node asks anew.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
@@ -63,14 +63,14 @@
 }
 
 auto Course::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts)
-    -> CourseStep {
+    -> LifecycleStep {
     if (state == ClaimState::granted && facts.now - asked_at <= claim_use_limit) {
         claim_held = true;
         claimed_at = asked_at;
         claim_term = term;
         return last_checks(facts);
     }
-    auto step = CourseStep();
+    auto step = LifecycleStep();
     if (state == ClaimState::seen) {
         step.step = Step::answer_seen;
     } else {  // its fate is not known, and so the ticket is never sent
@@ -81,7 +81,7 @@
 }
 
 // Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
-auto Course::last_checks(CourseFacts const& facts) -> CourseStep {
+auto Course::last_checks(CourseFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
     if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
         auto step = give_up("deadline", 1);
@@ -93,18 +93,18 @@
 }
 
 // Nothing was sent: no extra try, and no new ticket either.
-auto Course::enter_back() -> CourseStep {
+auto Course::enter_back() -> LifecycleStep {
     avoid.reset();
     ticket.counted = true;
-    CourseStep step;
+    LifecycleStep step;
     step.step = Step::enter;
     step.give_back = placement.replica;
     return step;
 }
 
-auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep {
+auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> LifecycleStep {
     rules = under;
-    CourseStep step;
+    LifecycleStep step;
     step.give_back = placement.replica;
     if (verdict.kind != Verdict::Kind::enter) {
         if (facts.proof_age > facts.refusal_limit) {  // a newer configuration may allow it
@@ -144,11 +144,11 @@
     ticket.tries = std::min(ticket.tries, judged_ticket.tries);
 }
 
-auto Course::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> CourseStep {
+auto Course::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
     if (end == TryEnd::did_not_run && reason == "seen") end = TryEnd::seen_before;
     may_have_run += surely_not_run(end) ? 0 : 1;
     limits.tries_left = ticket.tries - try_number;
-    CourseStep step;
+    LifecycleStep step;
     step.reason = std::string(reason);
     step.status = 503;
     step.step = step_for(retry::decide(end, request_facts(), limits));
@@ -162,8 +162,8 @@
     return step;
 }
 
-auto Course::gone() const -> CourseStep {
-    CourseStep step;
+auto Course::gone() const -> LifecycleStep {
+    LifecycleStep step;
     step.release_claim = claim_held && !history.may_have_run;
     return step;
 }
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -27,7 +27,7 @@
     {"enter", "claim", "interpret", "send", "answer-shed", "answer-refused", "answer-unknown", "answer-seen",
      "answer-failure", "finished"});
 
-struct CourseStep {
+struct LifecycleStep {
     Step step = Step::finished;
     std::string give_back;       // a replica whose place is not used
     bool release_claim = false;  // it never ran: the identity is free again
@@ -60,17 +60,18 @@
     std::uint64_t claim_term = 0;
     std::optional<std::string> avoid;
 
-    auto begin() const -> CourseStep { return {Step::enter}; }
-    auto placed(Placement given, CourseFacts const& facts) -> CourseStep;
-    auto given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep;
-    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts) -> CourseStep;
-    auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
+    auto begin() const -> LifecycleStep { return {Step::enter}; }
+    auto placed(Placement given, CourseFacts const& facts) -> LifecycleStep;
+    auto given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep;
+    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts)
+        -> LifecycleStep;
+    auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> LifecycleStep;
     // `limits` but for the tries, which are counted here.
-    auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> CourseStep;
+    auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> LifecycleStep;
     // The try was kept back right before it was written, as its rules, list or proof went on: nothing was sent, so
     // it counts as no try.
-    auto held_back() -> CourseStep { return enter_back(); }
-    auto gone() const -> CourseStep;
+    auto held_back() -> LifecycleStep { return enter_back(); }
+    auto gone() const -> LifecycleStep;
     // The last checks once more, after what took time: a connection that is opened.
     auto may_be_sent(CourseFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
@@ -78,11 +79,11 @@
     auto needs_claim() const -> bool { return ticket.body.run_once && !ticket.body.identity.empty(); }
 
    private:
-    auto last_checks(CourseFacts const& facts) -> CourseStep;
-    auto enter_back() -> CourseStep;
+    auto last_checks(CourseFacts const& facts) -> LifecycleStep;
+    auto enter_back() -> LifecycleStep;
     auto request_facts() const -> RetryRequest;
     auto take_rules(InferenceRequest const& judged_ticket) -> void;
-    auto give_up(std::string reason, std::int64_t retry_after) const -> CourseStep;
+    auto give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep;
 };
 
 // What is claimed: one identity of one tenant, at one model's part.
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -149,7 +149,7 @@
     auto ask_again(std::uint64_t number) -> void;
     auto arrive(std::size_t index, std::uint64_t number) -> void;
     auto judge_ticket(std::size_t index, std::uint64_t number) -> Verdict;
-    auto drive(std::size_t index, std::uint64_t number, CourseStep step) -> void;
+    auto drive(std::size_t index, std::uint64_t number, LifecycleStep step) -> void;
     auto enter(std::size_t index, std::uint64_t number) -> void;
     auto match(std::size_t index) -> void;
     auto decide(std::size_t index, Decisions const& decisions) -> void;
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -43,7 +43,7 @@
     return known;
 }
 
-auto Fleet::drive(std::size_t index, std::uint64_t number, CourseStep step) -> void {
+auto Fleet::drive(std::size_t index, std::uint64_t number, LifecycleStep step) -> void {
     auto& plane = planes[index];
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
