--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -132,7 +132,7 @@
     auto try_ended(
         std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
         Microseconds sent_at) -> void;
-    auto facts_for(std::string const& replica) const -> CourseFacts;
+    auto facts_for(std::string const& replica) const -> LifecycleFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
     auto refusal_limit() const -> Microseconds { return refusal_limit_of(settings.bounds); }
     // Looked at before the snapshot that it stands for (design 8.3).
@@ -173,7 +173,7 @@
     auto lease_checked(int partition, std::uint64_t fence) -> awaitable<std::optional<invariants::OrderFacts>>;
     // The last looks at what leaves; false where it breaks an invariant and is to be held back.
     auto refusal_leaves(int status) const -> bool;
-    auto request_leaves(Course const& course, CourseFacts const& facts) const -> bool;
+    auto request_leaves(Course const& course, LifecycleFacts const& facts) const -> bool;
     auto last_look(Course const& course) const -> LastLook;  // the last checks once more
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -10,8 +10,8 @@
 
 // For the last checks. They hold what matching held: a try that matching allows
 // and the checks refuse would go round without end (design 8.3).
-auto Node::facts_for(std::string const& replica) const -> CourseFacts {
-    auto facts = CourseFacts();
+auto Node::facts_for(std::string const& replica) const -> LifecycleFacts {
+    auto facts = LifecycleFacts();
     facts.now = clock_now();
     facts.proof_age = proof_age(facts.now);  // before the snapshot: what it proves is then in it
     facts.proof_limit = proof_limit();
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -54,7 +54,7 @@
     return give_up(std::string(reason), retry_after);
 }
 
-auto Course::placed(Placement given, CourseFacts const& facts) -> LifecycleStep {
+auto Course::placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep {
     placement = std::move(given);
     // A claim got long ago may have been forgotten since: a frozen node asks anew.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
@@ -62,7 +62,7 @@
     return last_checks(facts);
 }
 
-auto Course::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts)
+auto Course::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
     -> LifecycleStep {
     if (state == ClaimState::granted && facts.now - asked_at <= claim_use_limit) {
         claim_held = true;
@@ -81,7 +81,7 @@
 }
 
 // Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
-auto Course::last_checks(CourseFacts const& facts) -> LifecycleStep {
+auto Course::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
     if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
         auto step = give_up("deadline", 1);
@@ -102,7 +102,7 @@
     return step;
 }
 
-auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> LifecycleStep {
+auto Course::judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
     rules = under;
     LifecycleStep step;
     step.give_back = placement.replica;
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -37,7 +37,7 @@
 };
 
 // What a node knows at the moment of the last checks.
-struct CourseFacts {
+struct LifecycleFacts {
     Microseconds now = 0;
     Microseconds proof_age = 0;
     Microseconds proof_limit = dockrock::proof_limit;
@@ -61,11 +61,11 @@
     std::optional<std::string> avoid;
 
     auto begin() const -> LifecycleStep { return {Step::enter}; }
-    auto placed(Placement given, CourseFacts const& facts) -> LifecycleStep;
+    auto placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep;
     auto given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep;
-    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts)
+    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
         -> LifecycleStep;
-    auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> LifecycleStep;
+    auto judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep;
     // `limits` but for the tries, which are counted here.
     auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> LifecycleStep;
     // The try was kept back right before it was written, as its rules, list or proof went on: nothing was sent, so
@@ -73,13 +73,13 @@
     auto held_back() -> LifecycleStep { return enter_back(); }
     auto gone() const -> LifecycleStep;
     // The last checks once more, after what took time: a connection that is opened.
-    auto may_be_sent(CourseFacts const& facts) const -> bool {
+    auto may_be_sent(LifecycleFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
     }
     auto needs_claim() const -> bool { return ticket.body.run_once && !ticket.body.identity.empty(); }
 
    private:
-    auto last_checks(CourseFacts const& facts) -> LifecycleStep;
+    auto last_checks(LifecycleFacts const& facts) -> LifecycleStep;
     auto enter_back() -> LifecycleStep;
     auto request_facts() const -> RetryRequest;
     auto take_rules(InferenceRequest const& judged_ticket) -> void;
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -128,8 +128,8 @@
     course.ticket.body.identity = identity ? "mine" : "";
     return course;
 }
-auto good_facts() -> CourseFacts {
-    CourseFacts facts;
+auto good_facts() -> LifecycleFacts {
+    LifecycleFacts facts;
     facts.now = one_second;
     facts.listed = true;
     return facts;
--- a/tests/retry_decision_test.cpp
+++ b/tests/retry_decision_test.cpp
@@ -147,7 +147,7 @@
 TEST_CASE("no time left: nothing is sent, and what has not run is refused") {
     auto course = Course();
     course.ticket.deadline = 5 * one_second;
-    auto facts = CourseFacts();
+    auto facts = LifecycleFacts();
     facts.listed = true;
     facts.now = 5 * one_second - 1;
     CHECK(course.placed(Placement(), facts).step == Step::send);
@@ -167,11 +167,11 @@
     verdict.kind = Verdict::Kind::enter;
     verdict.ticket.body.run_once = true;
     verdict.ticket.tries = 9;
-    CHECK(course.judged(verdict, {1, 2}, CourseFacts()).step == Step::answer_unknown);
+    CHECK(course.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::answer_unknown);
     CHECK(course.ticket.tries == 3);
     auto fresh = Course();
     verdict.ticket.chain = {7};  // enters again, with what it was
     fresh.ticket.body.run_once = false;
-    CHECK(fresh.judged(verdict, {1, 2}, CourseFacts()).step == Step::enter);
+    CHECK(fresh.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::enter);
     CHECK(fresh.ticket.body.run_once);
 }
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -153,7 +153,7 @@
     auto enter(std::size_t index, std::uint64_t number) -> void;
     auto match(std::size_t index) -> void;
     auto decide(std::size_t index, Decisions const& decisions) -> void;
-    auto facts(std::size_t index, std::string const& replica) -> CourseFacts;
+    auto facts(std::size_t index, std::string const& replica) -> LifecycleFacts;
     auto send(std::size_t index, std::uint64_t number) -> void;
     auto check_refused(std::size_t index, int status) -> void;
     auto check_sent(std::size_t index, Course const& course) -> void;
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -32,9 +32,9 @@
     drive(index, number, run.course.begin());
 }
 
-auto Fleet::facts(std::size_t index, std::string const& replica) -> CourseFacts {
+auto Fleet::facts(std::size_t index, std::string const& replica) -> LifecycleFacts {
     auto const& snapshot = *planes[index].snapshot;
-    CourseFacts known;
+    LifecycleFacts known;
     known.now = local(index);
     known.proof_age = proof_age(index);
     known.rules = snapshot.rules->sequence;
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -129,7 +129,7 @@
     auto course = Course();
     course.ticket = judged(before, "id-1").verdict.ticket;
     course.ticket.number = 7;
-    auto facts = CourseFacts();
+    auto facts = LifecycleFacts();
     facts.rules = {1, 2};
     facts.listed = true;
     auto placement = Placement();
--- a/tests/stale_course_test.cpp
+++ b/tests/stale_course_test.cpp
@@ -16,7 +16,7 @@
         auto verdict = Verdict();
         verdict.kind = Verdict::Kind::answer;
         verdict.status = status;
-        auto facts = CourseFacts();
+        auto facts = LifecycleFacts();
         facts.proof_limit = 5 * one_second;
         facts.proof_age = young_proof;
         auto const young = course.judged(verdict, {1, 1}, facts);
