--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -54,7 +54,7 @@
     std::vector<CallDone> results;                            // for calls made at this node
     std::vector<std::pair<std::string, LoadDigest>> digests;  // from other admitting nodes
     std::vector<std::pair<std::string, LoadSum>> load_sums;   // from the relay
-    std::vector<KeptFeed::Taken> kept;                        // changes of kept prompts, in order
+    std::vector<CacheFeed::Taken> kept;                       // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
     std::vector<NewsNote> notes;  // for the log
     bool news = false;            // something a snapshot is made of changed
@@ -89,7 +89,7 @@
     LoadRelayChoice load_choice;
     Microseconds load_told_at = -3'600 * one_second;
     KeptFeedTimes kept_times;
-    KeptFeed kept_feed;
+    CacheFeed kept_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
     std::uint64_t news_bytes = 0;  // sent as news of documents, and what whole ones would have been
--- a/source/control/kept_feed.cpp
+++ b/source/control/kept_feed.cpp
@@ -55,7 +55,7 @@
 
 // A batch that overlaps what is known is applied whole: its last word on each
 // part stands either way.
-auto KeptFeed::judge(KeptBatch const& batch) -> Verdict {
+auto CacheFeed::judge(KeptBatch const& batch) -> Verdict {
     auto& cursor = cursors[batch.source];
     auto const same_life = cursor.life == batch.life;
     if (same_life && batch.next <= cursor.next) return Verdict::known;
@@ -66,7 +66,7 @@
     return same_life || first ? Verdict::follows : Verdict::gap;
 }
 
-auto KeptFeed::add(KeptBatch batch, bool own) -> void {
+auto CacheFeed::add(KeptBatch batch, bool own) -> void {
     log_bytes += size_of(batch);
     log.push_back({next_position++, own, std::move(batch)});
     while (log.size() > 1 && log_bytes > log_bytes_most) {
@@ -76,7 +76,7 @@
 }
 
 // Whoever holds a position in another life's log gets all that is left of this one.
-auto KeptFeed::answer(FeedAsk const& ask) const -> FeedAnswer {
+auto CacheFeed::answer(FeedAsk const& ask) const -> FeedAnswer {
     FeedAnswer answer;
     answer.feed = id;
     answer.position = next_position;
@@ -88,13 +88,13 @@
     return answer;
 }
 
-auto KeptFeed::ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk {
+auto CacheFeed::ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk {
     auto& reading = readings[relay];
     reading.asked_at = now;
     return {reading.feed, reading.position, own};
 }
 
-auto KeptFeed::take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken> {
+auto CacheFeed::take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken> {
     std::vector<Taken> taken;
     auto const found = readings.find(relay);
     if (found == readings.end()) return taken;
@@ -108,7 +108,7 @@
     return taken;
 }
 
-auto KeptFeed::forget_except(std::set<std::string> const& sources) -> void {
+auto CacheFeed::forget_except(std::set<std::string> const& sources) -> void {
     std::erase_if(cursors, [&](auto const& item) { return !sources.contains(item.first); });
 }
 
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -30,7 +30,7 @@
 // Two that disagree for a while both read it; batches may overlap.
 auto reader_of(std::string_view source, std::string_view area, std::vector<Member> const& cores) -> Member const*;
 
-struct KeptFeed {
+struct CacheFeed {
     // What this node knows of a source's events: everything before `next`.
     struct Cursor {
         std::string life;
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -199,7 +199,7 @@
     auto parts_address(std::string const& name) -> std::string;
     auto parts_told(KeptBatch batch, bool restarted) -> void;
     auto take_kept(KeptBatch const& batch, bool forget) -> void;
-    auto take_feed(std::vector<KeptFeed::Taken> const& told) -> void;
+    auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
     auto stop_politely() -> awaitable<void>;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -179,7 +179,7 @@
 }
 
 // What came through the relay.
-auto Node::take_feed(std::vector<KeptFeed::Taken> const& told) -> void {
+auto Node::take_feed(std::vector<CacheFeed::Taken> const& told) -> void {
     for (auto const& [batch, gap] : told) {
         take_kept(batch, gap || batch.anew);
         if (!gap || batch.anew) continue;
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -20,8 +20,8 @@
     return member;
 }
 // One question and its answer; what came of it.
-auto pull(KeptFeed& reader, KeptFeed const& relay, std::string const& name, bool own = false)
-    -> std::vector<KeptFeed::Taken> {
+auto pull(CacheFeed& reader, CacheFeed const& relay, std::string const& name, bool own = false)
+    -> std::vector<CacheFeed::Taken> {
     return reader.take(name, relay.answer(reader.ask(name, own, one_second)));
 }
 
@@ -56,24 +56,24 @@
 }
 
 TEST_CASE("a batch is taken once, an overlapping one whole, and a gap, a restart or another's start is told") {
-    KeptFeed feed;
-    CHECK(feed.judge(batch(0, 5)) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(0, 5)) == KeptFeed::Verdict::known);
-    CHECK(feed.judge(batch(3, 8)) == KeptFeed::Verdict::follows);  // two readers that disagree
-    CHECK(feed.judge(batch(5, 7)) == KeptFeed::Verdict::known);
-    CHECK(feed.judge(batch(9, 10)) == KeptFeed::Verdict::gap);
-    CHECK(feed.judge(batch(10, 12)) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(0, 2, "life-2")) == KeptFeed::Verdict::gap);  // it restarted
-    CHECK(feed.judge(batch(2, 3, "life-2")) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(7, 9, "life-1", "replica-2")) == KeptFeed::Verdict::gap);  // never heard of before
-    CHECK(feed.judge(batch(0, 9, "life-1", "replica-3")) == KeptFeed::Verdict::follows);
+    CacheFeed feed;
+    CHECK(feed.judge(batch(0, 5)) == CacheFeed::Verdict::follows);
+    CHECK(feed.judge(batch(0, 5)) == CacheFeed::Verdict::known);
+    CHECK(feed.judge(batch(3, 8)) == CacheFeed::Verdict::follows);  // two readers that disagree
+    CHECK(feed.judge(batch(5, 7)) == CacheFeed::Verdict::known);
+    CHECK(feed.judge(batch(9, 10)) == CacheFeed::Verdict::gap);
+    CHECK(feed.judge(batch(10, 12)) == CacheFeed::Verdict::follows);
+    CHECK(feed.judge(batch(0, 2, "life-2")) == CacheFeed::Verdict::gap);  // it restarted
+    CHECK(feed.judge(batch(2, 3, "life-2")) == CacheFeed::Verdict::follows);
+    CHECK(feed.judge(batch(7, 9, "life-1", "replica-2")) == CacheFeed::Verdict::gap);  // never heard of before
+    CHECK(feed.judge(batch(0, 9, "life-1", "replica-3")) == CacheFeed::Verdict::follows);
 }
 
 TEST_CASE("questions and answers that are lost, late or repeated lose no batch and repeat none") {
     for (auto seed = std::uint64_t{1}; seed <= 40; ++seed) {
         auto random = Random{seed};
-        KeptFeed relay;
-        KeptFeed node;
+        CacheFeed relay;
+        CacheFeed node;
         relay.id = 7;
         auto next = std::uint64_t{0};
         auto taken = std::uint64_t{0};
@@ -107,9 +107,9 @@
 }
 
 TEST_CASE("a node that changes its relay, and one whose relay restarts, goes on without a gap") {
-    KeptFeed reader;  // the core node that reads the source
-    KeptFeed other;   // another core node
-    KeptFeed node;
+    CacheFeed reader;  // the core node that reads the source
+    CacheFeed other;   // another core node
+    CacheFeed node;
     reader.id = 1;
     other.id = 2;
     auto const read = [&](std::uint64_t from, std::uint64_t next) {
@@ -129,7 +129,7 @@
     CHECK_FALSE(through_other.front().gap);
     CHECK(through_other.front().batch.next == 6);
     CHECK(other.answer({0, 0, true}).batches.empty());  // nothing goes round between core nodes
-    other = KeptFeed();                                 // it restarts with an empty log
+    other = CacheFeed();                                // it restarts with an empty log
     other.id = 3;
     read(6, 9);
     pass_on();
@@ -146,8 +146,8 @@
 }
 
 TEST_CASE("a log holds bounded bytes; whoever was away longer is told of a gap") {
-    KeptFeed relay;
-    KeptFeed node;
+    CacheFeed relay;
+    CacheFeed node;
     relay.id = 1;
     relay.add(batch(0, 1), true);
     CHECK(pull(node, relay, "relay").size() == 1);
