--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -88,7 +88,7 @@
     LoadRelay load_relay;  // where this is a core node
     LoadRelayChoice load_choice;
     Microseconds load_told_at = -3'600 * one_second;
-    KeptFeedTimes kept_times;
+    CacheFeedTimes kept_times;
     CacheFeed kept_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct KeptFeedTimes {
+struct CacheFeedTimes {
     Microseconds between_cores = 200 * one_millisecond;  // between a core node's questions to another
     Microseconds busy = 250 * one_millisecond;           // between a node's questions to its relay,
     Microseconds idle = one_second;                      // where it has had no requests for a while
