--- a/source/base/relay_messages.hpp
+++ b/source/base/relay_messages.hpp
@@ -28,7 +28,7 @@
     std::string body;
 };
 // changes of kept prompts (design 9.9)
-struct KeptBatch {  // what a replica or store told when it was read once
+struct CacheBatch {  // what a replica or store told when it was read once
     std::string source;
     bool store = false;
     std::string life;  // changes when the source restarts
@@ -46,7 +46,7 @@
 struct FeedAnswer {
     std::uint64_t feed = 0;
     std::uint64_t position = 0;  // where the next question goes on
-    std::vector<KeptBatch> batches;
+    std::vector<CacheBatch> batches;
 };
 
 }  // namespace dockrock
--- a/source/control/control_kept.cpp
+++ b/source/control/control_kept.cpp
@@ -11,13 +11,13 @@
     return reader != nullptr && reader->identity == membership.self.identity;
 }
 
-auto Control::kept_read(KeptBatch batch) -> void {
+auto Control::kept_read(CacheBatch batch) -> void {
     auto const known = kept_feed.judge(batch) == CacheFeed::Verdict::known;
     if (!known && settings.core) kept_feed.add(std::move(batch), true);
 }
 
 // What was read at the source itself; nothing where the feed is further already.
-auto Control::kept_caught_up(KeptBatch const& batch) -> bool {
+auto Control::kept_caught_up(CacheBatch const& batch) -> bool {
     auto& cursor = kept_feed.cursors[batch.source];
     if (cursor.life == batch.life && batch.next < cursor.next) return false;
     cursor = {batch.life, batch.next};
--- a/source/control/kept_feed.cpp
+++ b/source/control/kept_feed.cpp
@@ -11,7 +11,7 @@
 constexpr auto batch_overhead = std::size_t{128};
 constexpr auto part_letters = std::size_t{16};
 
-auto size_of(KeptBatch const& batch) -> std::size_t {
+auto size_of(CacheBatch const& batch) -> std::size_t {
     return batch_overhead + batch.changes.size() + batch.source.size() + batch.life.size();
 }
 
@@ -55,7 +55,7 @@
 
 // A batch that overlaps what is known is applied whole: its last word on each
 // part stands either way.
-auto CacheFeed::judge(KeptBatch const& batch) -> Verdict {
+auto CacheFeed::judge(CacheBatch const& batch) -> Verdict {
     auto& cursor = cursors[batch.source];
     auto const same_life = cursor.life == batch.life;
     if (same_life && batch.next <= cursor.next) return Verdict::known;
@@ -66,7 +66,7 @@
     return same_life || first ? Verdict::follows : Verdict::gap;
 }
 
-auto CacheFeed::add(KeptBatch batch, bool own) -> void {
+auto CacheFeed::add(CacheBatch batch, bool own) -> void {
     log_bytes += size_of(batch);
     log.push_back({next_position++, own, std::move(batch)});
     while (log.size() > 1 && log_bytes > log_bytes_most) {
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -40,7 +40,7 @@
     struct Entry {
         std::uint64_t position = 0;
         bool own = false;  // read by this node itself
-        KeptBatch batch;
+        CacheBatch batch;
     };
     // How far this node has read another node's log.
     struct Reading {
@@ -49,7 +49,7 @@
         Microseconds asked_at = 0;
     };
     struct Taken {
-        KeptBatch batch;
+        CacheBatch batch;
         bool gap = false;  // events before it never came here
     };
 
@@ -60,8 +60,8 @@
     std::map<std::string, Cursor> cursors;    // by source
     std::map<std::string, Reading> readings;  // by the identity of the node whose log it is
 
-    auto judge(KeptBatch const& batch) -> Verdict;
-    auto add(KeptBatch batch, bool own) -> void;
+    auto judge(CacheBatch const& batch) -> Verdict;
+    auto add(CacheBatch batch, bool own) -> void;
     auto answer(FeedAsk const& ask) const -> FeedAnswer;
     auto ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk;
     auto take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken>;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -18,8 +18,8 @@
 constexpr Microseconds members_met = 3 * one_second / 2;         // a node that just started knows few others
 constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between sources
 
-auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> KeptBatch {
-    auto batch = KeptBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
+auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> CacheBatch {
+    auto batch = CacheBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
     std::vector<KeptChange> changes;
     for (auto const& event : told.events) {
         auto const salt = read_salt(event.salt);
@@ -90,7 +90,7 @@
     return found == parts_read.end() ? std::string() : found->second.address;
 }
 
-auto Node::take_kept(KeptBatch const& batch, bool forget) -> void {
+auto Node::take_kept(CacheBatch const& batch, bool forget) -> void {
     auto const changes = read_changes(batch.changes);
     auto const guard = std::lock_guard(table.lock);
     auto& burden = table.granting.burden;
@@ -113,7 +113,7 @@
 }
 
 // What was read of a source: for this node, or for all where it is a core node.
-auto Node::parts_told(KeptBatch batch, bool restarted) -> void {
+auto Node::parts_told(CacheBatch batch, bool restarted) -> void {
     if (!settings.front_address.empty()) take_kept(batch, batch.anew || restarted);
     in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
 }
@@ -131,7 +131,7 @@
         if (!told && store) {  // a batch without a life: the store does not answer
             since = 0;
             life.clear();
-            parts_told(KeptBatch{name, store, {}, 0, 0, true, {}, {}}, true);
+            parts_told(CacheBatch{name, store, {}, 0, 0, true, {}, {}}, true);
         }
         if (!told) {
             co_await pause(store ? one_second / 2 : one_second);
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 auto batch(std::uint64_t from, std::uint64_t next, std::string life = "life-1", std::string source = "replica-1")
-    -> KeptBatch {
+    -> CacheBatch {
     return {std::move(source), false, std::move(life), from, next, false, {"1"}, write_changes({{from, 0, true}})};
 }
 auto core(std::string identity, std::string area) -> Member {
