--- a/source/control/kept_feed.cpp
+++ b/source/control/kept_feed.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 // A letter for the weights, a capital where it is kept, and the part's hash.
-auto write_changes(std::vector<KeptChange> const& changes) -> std::string {
+auto write_changes(std::vector<CacheChange> const& changes) -> std::string {
     std::string text;
     text.reserve(changes.size() * (part_letters + 1));
     for (auto const& change : changes) {
@@ -28,12 +28,12 @@
     return text;
 }
 
-auto read_changes(std::string_view text) -> std::optional<std::vector<KeptChange>> {
+auto read_changes(std::string_view text) -> std::optional<std::vector<CacheChange>> {
     if (text.size() % (part_letters + 1) != 0) return std::nullopt;
-    std::vector<KeptChange> changes;
+    std::vector<CacheChange> changes;
     changes.reserve(text.size() / (part_letters + 1));
     for (; !text.empty(); text.remove_prefix(part_letters + 1)) {
-        KeptChange change;
+        CacheChange change;
         auto const letter = text.front();
         change.kept = letter >= 'A' && letter <= 'Z';
         if (!change.kept && (letter < 'a' || letter > 'z')) return std::nullopt;
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -15,16 +15,16 @@
 };
 
 // One part of a prompt that its source keeps from now on, or no longer.
-struct KeptChange {
+struct CacheChange {
     std::uint64_t part = 0;   // hash of the wall and the part
     std::size_t weights = 0;  // index into the batch's names of weights
     bool kept = false;
-    auto operator==(KeptChange const&) const -> bool = default;
+    auto operator==(CacheChange const&) const -> bool = default;
 };
 inline constexpr auto weights_in_batch = std::size_t{26};
 
-auto write_changes(std::vector<KeptChange> const& changes) -> std::string;
-auto read_changes(std::string_view text) -> std::optional<std::vector<KeptChange>>;
+auto write_changes(std::vector<CacheChange> const& changes) -> std::string;
+auto read_changes(std::string_view text) -> std::optional<std::vector<CacheChange>>;
 
 // Which core node reads a source: one of the source's zone where there is one.
 // Two that disagree for a while both read it; batches may overlap.
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -20,7 +20,7 @@
 
 auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> CacheBatch {
     auto batch = CacheBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
-    std::vector<KeptChange> changes;
+    std::vector<CacheChange> changes;
     for (auto const& event : told.events) {
         auto const salt = read_salt(event.salt);
         if (!salt) continue;
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -29,7 +29,7 @@
 
 TEST_CASE("changes are written and read back; what is no such text is refused") {
     auto const changes =
-        std::vector<KeptChange>{{0, 0, true}, {~std::uint64_t{0}, 25, false}, {0x0123456789abcdefULL, 3, true}};
+        std::vector<CacheChange>{{0, 0, true}, {~std::uint64_t{0}, 25, false}, {0x0123456789abcdefULL, 3, true}};
     CHECK(read_changes(write_changes(changes)) == changes);
     CHECK(read_changes("")->empty());
     for (auto const* text : {"A", "A012345678901234", "!0123456789abcdef", "A0123456789abcdeg", "A-123456789abcdef"})
