--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -192,9 +192,9 @@
     auto relay_accept(tcp::acceptor& from, RelayDoor door) -> awaitable<void>;
     auto sweep_loop() -> awaitable<void>;
     auto parts_manager() -> awaitable<void>;
-    auto sources_to_read(Snapshot const& current) const -> std::map<std::string, KeptSource>;
+    auto sources_to_read(Snapshot const& current) const -> std::map<std::string, CacheSource>;
     auto step_parts() -> void;
-    auto take_sources(std::map<std::string, KeptSource> sources) -> std::vector<std::pair<std::string, bool>>;
+    auto take_sources(std::map<std::string, CacheSource> sources) -> std::vector<std::pair<std::string, bool>>;
     auto parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void>;
     auto parts_address(std::string const& name) -> std::string;
     auto parts_told(CacheBatch batch, bool restarted) -> void;
@@ -214,9 +214,9 @@
 
     std::filesystem::file_time_type settings_time;  // in tick_loop alone, once running
     Microseconds settings_looked = 0;
-    std::set<std::string> report_loops;            // on the context's strand of report_manager
-    std::map<std::string, KeptSource> parts_read;  // under loops_lock: the sources that this node reads
-    std::set<std::string> parts_missed;            // under loops_lock: sources with a gap in what came
+    std::set<std::string> report_loops;             // on the context's strand of report_manager
+    std::map<std::string, CacheSource> parts_read;  // under loops_lock: the sources that this node reads
+    std::set<std::string> parts_missed;             // under loops_lock: sources with a gap in what came
     std::mutex loops_lock;
 };
 
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -39,8 +39,8 @@
 }  // namespace
 
 // Who is read here: everyone by each node that takes requests, or by core nodes in shares.
-auto Node::sources_to_read(Snapshot const& current) const -> std::map<std::string, KeptSource> {
-    std::map<std::string, KeptSource> all;
+auto Node::sources_to_read(Snapshot const& current) const -> std::map<std::string, CacheSource> {
+    std::map<std::string, CacheSource> all;
     for (auto const& entry : current.list.replicas) all[entry.name] = {entry.address, entry.area, false};
     if (current.rules->services)
         for (auto const& service : current.rules->services->document.services)
@@ -64,7 +64,7 @@
 }
 
 // The sources read from now on; those that no loop reads yet are told.
-auto Node::take_sources(std::map<std::string, KeptSource> sources) -> std::vector<std::pair<std::string, bool>> {
+auto Node::take_sources(std::map<std::string, CacheSource> sources) -> std::vector<std::pair<std::string, bool>> {
     std::vector<std::pair<std::string, bool>> fresh;
     auto const guard = std::lock_guard(loops_lock);
     parts_read = std::move(sources);
--- a/source/process/node_types.hpp
+++ b/source/process/node_types.hpp
@@ -37,7 +37,7 @@
 enum class RelayDoor : int { front, ready, operators };
 
 // A replica or store whose events are read.
-struct KeptSource {
+struct CacheSource {
     std::string address;
     std::string area;
     bool store = false;
