--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -88,8 +88,8 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
-    auto runs = KeptRuns{weights_mark};
+auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> CachedPrefixes {
+    auto runs = CachedPrefixes{weights_mark};
     for (auto const* state : burden.pool(ticket.body.model)) {
         if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
             continue;
@@ -118,8 +118,8 @@
     auto const* home = *std::min_element(found.begin(), found.end(), by_hash);
     auto const rates =
         PlacementRates{reading_rate(ticket.body.model) / options.fetch_tokens_each_second, options.copy_cost};
-    std::vector<KeptRuns> known;
-    auto const runs_for = [&](std::uint64_t mark) -> KeptRuns const& {
+    std::vector<CachedPrefixes> known;
+    auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
         for (auto const& runs : known)
             if (runs.weights_mark == mark) return runs;
         return known.emplace_back(kept_runs(ticket, mark));
