--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -134,7 +134,7 @@
     Microseconds live_age = 0;
     bool whole = false;  // a difference did not fit
 };
-struct NewsAnswer {
+struct UpdateAnswer {
     int partition = 0;
     std::uint64_t token = 0;
     Record record;
@@ -222,7 +222,7 @@
 
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
-    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, NewsAnswer, CallForward, CallAnswer,
+    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, UpdateAnswer, CallForward, CallAnswer,
     LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
     LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
 
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -24,7 +24,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::NewsCopy, sequence, digest, whole, text, edits);
 BOOST_HANA_ADAPT_STRUCT(dockrock::NewsAsk, partition, token, term, have, live_digest, live_age, whole);
 BOOST_HANA_ADAPT_STRUCT(
-    dockrock::NewsAnswer, partition, token, record, proven, age, sequence, copy, live_digest, live, live_age);
+    dockrock::UpdateAnswer, partition, token, record, proven, age, sequence, copy, live_digest, live, live_age);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Call, partition, identity, operation, if_match, body, base);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CallForward, token, hops, origin, call);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CallAnswer, token, status, body, etag);
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -125,7 +125,7 @@
     publish(now, output);
     // The next question follows an answer that was held, or that brought news,
     // without waiting for a tick; answers given at once are paced by the ticks.
-    auto const* answer = std::get_if<NewsAnswer>(&message);
+    auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = news[static_cast<std::size_t>(answer->partition)];
         if (output.news || next_is_held(item, answer->partition, now)) ask_news(now, output);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -161,7 +161,7 @@
     auto on(Arrival const& arrival, ProbeAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ProbeFor const& probe) -> void;
     auto on(Arrival const& arrival, NewsAsk const& ask) -> void;
-    auto on(Arrival const& arrival, NewsAnswer const& answer) -> void;
+    auto on(Arrival const& arrival, UpdateAnswer const& answer) -> void;
     auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
     auto on(Arrival const& arrival, LoadTold const& told) -> void;
     auto on(Arrival const& arrival, LoadShare const& share) -> void;
@@ -188,13 +188,14 @@
     auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
-    auto take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
+    auto take_news(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
+    auto take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
     auto take_answer(
-        Microseconds now, PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+        Microseconds now, PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+        -> void;
+    auto take_copy(Microseconds now, PartitionView& item, UpdateAnswer const& answer, ControlOutput& output) -> void;
+    auto take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
-    auto take_copy(Microseconds now, PartitionView& item, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_live(PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output) -> void;
     auto learn_namings(int partition, Microseconds now) -> void;
     auto ask_namings(Microseconds now, ControlOutput& output) -> void;
     auto take_namings(Microseconds now, std::string const& address, NamingAges const& told, ControlOutput& output)
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -44,7 +44,7 @@
     answer_news(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
 }
 
-auto Control::on(Arrival const& arrival, NewsAnswer const& answer) -> void {
+auto Control::on(Arrival const& arrival, UpdateAnswer const& answer) -> void {
     if (!is_partition(answer.partition)) return;
     load_choice.heard(arrival.from, arrival.now);
     take_news(arrival.now, answer, arrival.output);
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -77,7 +77,7 @@
         if (waiting_asks.size() < 1024) waiting_asks.push_back(waiting);
         return;
     }
-    NewsAnswer answer;
+    UpdateAnswer answer;
     answer.partition = ask.partition;
     answer.token = ask.token;
     answer.record = item.record;
@@ -102,7 +102,7 @@
     return now - news[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
 }
 
-auto Control::take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
+auto Control::take_news(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     if (answer.token != item.ask_token || item.ask_token == 0) return take_late(now, answer, output);
     pass_by(item, true);
@@ -115,7 +115,7 @@
 
 // A proof counts from when its own question was asked, however late it comes; content that is newer is always taken.
 auto Control::take_answer(
-    Microseconds now, PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+    Microseconds now, PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
     if (answer.record.term > item.record.term) item.record = answer.record;
     take_copy(now, item, answer, output);
@@ -126,7 +126,7 @@
 }
 
 // The question was asked anew since, or of two nodes at once.
-auto Control::take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
+auto Control::take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     auto* asked = past_ask(item, answer.token);
     if (asked == nullptr) {
@@ -142,7 +142,7 @@
     take_answer(now, item, answer, asked->asked_at, output);
 }
 
-auto Control::take_copy(Microseconds now, PartitionView& item, NewsAnswer const& answer, ControlOutput& output)
+auto Control::take_copy(Microseconds now, PartitionView& item, UpdateAnswer const& answer, ControlOutput& output)
     -> void {
     if (!answer.copy || !(answer.copy->sequence > item.copy.sequence)) return;  // never back to an older one
     auto made = apply_news(item, *answer.copy);
@@ -156,7 +156,7 @@
     output.news = true;
 }
 
-auto Control::take_live(PartitionView& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+auto Control::take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
     // A list is told apart by its digest: the same text is as fresh as its
     // freshest reading, another one is taken where it was read later (design 8.4).
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -178,7 +178,7 @@
     auto const now = world->local(node);
     auto& item = node.control.news[configuration_partition];
     auto const proven_at = item.proven_at;
-    auto answer = NewsAnswer();
+    auto answer = UpdateAnswer();
     answer.partition = configuration_partition;
     answer.token = item.ask_token = 77;
     item.asked_at = now - one_millisecond;
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -41,7 +41,7 @@
         }
     }
     auto answer(NewsAsk const& ask, Sequence sequence, Microseconds age, std::string const& document = "") -> void {
-        auto given = NewsAnswer();
+        auto given = UpdateAnswer();
         given.token = ask.token;
         given.record = control.news[0].record;
         given.proven = true;
