--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -125,7 +125,7 @@
     std::string text;  // if whole
     TextEdits edits;   // if not
 };
-struct NewsAsk {
+struct UpdateRequest {
     int partition = 0;
     std::uint64_t token = 0;
     std::uint64_t term = 0;
@@ -222,7 +222,7 @@
 
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
-    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, UpdateAnswer, CallForward, CallAnswer,
+    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
     LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
     LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
 
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -70,7 +70,7 @@
     std::array<PartitionWatch, partition_count> watches;
     struct WaitingAsk {
         std::string address;
-        NewsAsk ask;
+        UpdateRequest ask;
         Microseconds since = 0;
     };
     std::vector<WaitingAsk> waiting_asks;
@@ -160,7 +160,7 @@
     auto on(Arrival const& arrival, Probe const& probe) -> void;
     auto on(Arrival const& arrival, ProbeAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ProbeFor const& probe) -> void;
-    auto on(Arrival const& arrival, NewsAsk const& ask) -> void;
+    auto on(Arrival const& arrival, UpdateRequest const& ask) -> void;
     auto on(Arrival const& arrival, UpdateAnswer const& answer) -> void;
     auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
     auto on(Arrival const& arrival, LoadTold const& told) -> void;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -39,7 +39,7 @@
     membership.on(probe, arrival.address, arrival.now, arrival.output.sends);
 }
 
-auto Control::on(Arrival const& arrival, NewsAsk const& ask) -> void {
+auto Control::on(Arrival const& arrival, UpdateRequest const& ask) -> void {
     if (!is_partition(ask.partition)) return;
     answer_news(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
 }
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -224,8 +224,9 @@
         item.ask_token = random.next() | 1U;
         item.asked_at = now;
         item.asked_whom = target;
-        auto const ask = NewsAsk{static_cast<int>(index), item.ask_token,     item.record.term, item.copy.sequence,
-                                 item.live_digest,        now - item.live_at, item.whole_wanted};
+        auto const ask =
+            UpdateRequest{static_cast<int>(index), item.ask_token,     item.record.term, item.copy.sequence,
+                          item.live_digest,        now - item.live_at, item.whole_wanted};
         output.sends.push_back({target, ask});
         // Where the last question was not answered, another node, whoever it is, may relay its proof.
         auto const other = item.unanswered > 0 ? other_target(item, target) : std::string();
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -37,7 +37,7 @@
     while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
 }
 
-auto copy_for(PartitionView const& item, NewsAsk const& ask) -> NewsCopy {
+auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> NewsCopy {
     auto const& fresh = item.copy.document;
     auto const whole = [&] { return NewsCopy{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
     auto const held =
@@ -48,7 +48,7 @@
     return {item.copy.sequence, digest_of(fresh), false, "", std::move(edits)};
 }
 
-auto copy_told(PartitionView& item, NewsAsk const& ask) -> NewsCopy {
+auto copy_told(PartitionView& item, UpdateRequest const& ask) -> NewsCopy {
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -86,9 +86,9 @@
 // Of all that are remembered; null: no such question.
 auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk*;
 // Whole, or as the difference from what the asker holds, whichever is smaller.
-auto copy_for(PartitionView const& item, NewsAsk const& ask) -> NewsCopy;
+auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> NewsCopy;
 // The same; the difference that many ask for is made once.
-auto copy_told(PartitionView& item, NewsAsk const& ask) -> NewsCopy;
+auto copy_told(PartitionView& item, UpdateRequest const& ask) -> NewsCopy;
 // The document it makes; nothing where it does not fit what is held.
 auto apply_news(PartitionView const& item, NewsCopy const& news) -> std::optional<std::string>;
 auto remember(PartitionView& item) -> void;
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -13,7 +13,7 @@
 struct Asker {
     Control control;
     Microseconds now = one_second;
-    std::vector<std::pair<std::string, NewsAsk>> asked;  // of the configuration
+    std::vector<std::pair<std::string, UpdateRequest>> asked;  // of the configuration
     ControlOutput last;
 
     Asker() {
@@ -30,7 +30,7 @@
     }
     auto take(ControlOutput output) -> void {
         for (auto const& send : output.sends)
-            if (auto const* ask = std::get_if<NewsAsk>(&send.message); ask != nullptr && ask->partition == 0)
+            if (auto const* ask = std::get_if<UpdateRequest>(&send.message); ask != nullptr && ask->partition == 0)
                 asked.emplace_back(send.address, *ask);
         last = std::move(output);
     }
@@ -40,7 +40,8 @@
             take(control.tick(now));
         }
     }
-    auto answer(NewsAsk const& ask, Sequence sequence, Microseconds age, std::string const& document = "") -> void {
+    auto answer(UpdateRequest const& ask, Sequence sequence, Microseconds age, std::string const& document = "")
+        -> void {
         auto given = UpdateAnswer();
         given.token = ask.token;
         given.record = control.news[0].record;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -22,7 +22,7 @@
 TEST_CASE("a difference makes the very document, and is sent only where it is smaller") {
     auto const base = std::string(10'000, 'a') + "middle" + std::string(10'000, 'b');
     auto const asker = held(base);
-    NewsAsk ask;
+    UpdateRequest ask;
     ask.have = {1, 1};
     for (auto const& fresh :
          {std::string(10'000, 'a') + "other" + std::string(10'000, 'b'), base + "tail", "head" + base, base.substr(5),
@@ -44,7 +44,7 @@
 
 TEST_CASE("a difference that does not fit what is held is not applied") {
     auto const news = copy_for(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
-        NewsAsk ask;
+        UpdateRequest ask;
         ask.have = {1, 1};
         return ask;
     }());
