--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -118,7 +118,7 @@
 };
 // news (design 8)
 // A document as news: whole, or what differs from one that the asker holds.
-struct NewsCopy {
+struct DocumentUpdate {
     Sequence sequence;
     std::uint64_t digest = 0;  // of the document it makes
     bool whole = true;
@@ -141,7 +141,7 @@
     bool proven = false;  // a leased leader stood behind this `age` ago
     Microseconds age = 0;
     Sequence sequence;  // what the answerer holds
-    std::optional<NewsCopy> copy;
+    std::optional<DocumentUpdate> copy;
     std::uint64_t live_digest = 0;
     std::string live;  // the replica list, where it differs and is newer
     Microseconds live_age = 0;
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -21,7 +21,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::CopyTaken, partition, term, ballot);
 BOOST_HANA_ADAPT_STRUCT(dockrock::SpareOffer, partition, record, copy);
 BOOST_HANA_ADAPT_STRUCT(dockrock::SpareChange, partition, record, change);
-BOOST_HANA_ADAPT_STRUCT(dockrock::NewsCopy, sequence, digest, whole, text, edits);
+BOOST_HANA_ADAPT_STRUCT(dockrock::DocumentUpdate, sequence, digest, whole, text, edits);
 BOOST_HANA_ADAPT_STRUCT(dockrock::UpdateRequest, partition, token, term, have, live_digest, live_age, whole);
 BOOST_HANA_ADAPT_STRUCT(
     dockrock::UpdateAnswer, partition, token, record, proven, age, sequence, copy, live_digest, live, live_age);
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -37,9 +37,9 @@
     while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
 }
 
-auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> NewsCopy {
+auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate {
     auto const& fresh = item.copy.document;
-    auto const whole = [&] { return NewsCopy{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
+    auto const whole = [&] { return DocumentUpdate{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
     auto const held =
         std::find_if(item.past.begin(), item.past.end(), [&](auto const& past) { return past.first == ask.have; });
     if (ask.whole || held == item.past.end()) return whole();
@@ -48,7 +48,7 @@
     return {item.copy.sequence, digest_of(fresh), false, "", std::move(edits)};
 }
 
-auto copy_told(PartitionView& item, UpdateRequest const& ask) -> NewsCopy {
+auto copy_told(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate {
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
@@ -57,7 +57,7 @@
     return made;
 }
 
-auto apply_news(PartitionView const& item, NewsCopy const& news) -> std::optional<std::string> {
+auto apply_news(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string> {
     auto made = news.whole ? std::optional(news.text) : apply_edits(item.copy.document, news.edits);
     if (!made || digest_of(*made) != news.digest) return std::nullopt;
     return made;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -62,10 +62,10 @@
 // What a node holds of a partition as news (design 8).
 struct PartitionView {
     Record record;
-    Copy copy;                                          // elsewhere than at the leader without outcomes
-    std::deque<std::pair<Sequence, std::string>> past;  // documents held before, for differences
-    std::optional<std::pair<Sequence, NewsCopy>> told;  // the last difference, and what it builds on
-    bool whole_wanted = false;                          // a difference did not fit
+    Copy copy;                                                // elsewhere than at the leader without outcomes
+    std::deque<std::pair<Sequence, std::string>> past;        // documents held before, for differences
+    std::optional<std::pair<Sequence, DocumentUpdate>> told;  // the last difference, and what it builds on
+    bool whole_wanted = false;                                // a difference did not fit
     Microseconds proven_at = -3'600 * one_second;
     std::string live;  // the replica list, or the word of the partition's leader; told apart by its digest
     std::uint64_t live_digest = 0;
@@ -86,11 +86,11 @@
 // Of all that are remembered; null: no such question.
 auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk*;
 // Whole, or as the difference from what the asker holds, whichever is smaller.
-auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> NewsCopy;
+auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The same; the difference that many ask for is made once.
-auto copy_told(PartitionView& item, UpdateRequest const& ask) -> NewsCopy;
+auto copy_told(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The document it makes; nothing where it does not fit what is held.
-auto apply_news(PartitionView const& item, NewsCopy const& news) -> std::optional<std::string>;
+auto apply_news(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string>;
 auto remember(PartitionView& item) -> void;
 
 }  // namespace dockrock
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -48,7 +48,7 @@
         given.proven = true;
         given.age = age;
         given.sequence = sequence;
-        if (!document.empty()) given.copy = NewsCopy{sequence, digest_of(document), true, document, {}};
+        if (!document.empty()) given.copy = DocumentUpdate{sequence, digest_of(document), true, document, {}};
         take(control.receive(now, "leader", "leader", given));
     }
     auto held() -> PartitionView& { return control.news[0]; }
