--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -62,7 +62,7 @@
 
 struct Control {
     ControlSettings settings;
-    NewsTimes times;
+    UpdateTimes times;
     Random random;
     Membership membership;
     std::array<Partition, partition_count> partitions;
--- a/source/control/control_calls.cpp
+++ b/source/control/control_calls.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr auto most_hops = 2;
 // Large bodies take their time on the way and to be read.
-auto allowance_for(Call const& call, NewsTimes const& times) -> Microseconds {
+auto allowance_for(Call const& call, UpdateTimes const& times) -> Microseconds {
     return static_cast<Microseconds>(call.body.size()) * times.call_each_mebibyte / (Microseconds{1} << 20U);
 }
 }  // namespace
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct NewsTimes {
+struct UpdateTimes {
     Microseconds hold_limit = 300 * one_millisecond;
     Microseconds ask_limit = 500 * one_millisecond;
     // The other parts decide nothing by their age: a change is told at once either way.
@@ -29,7 +29,7 @@
 };
 
 // For operators that turn to another node after a second of silence.
-inline auto limit_calls(NewsTimes& times) -> void {
+inline auto limit_calls(UpdateTimes& times) -> void {
     times.call_limit = times.call_unsent_limit = 850 * one_millisecond;
     times.call_resend = 250 * one_millisecond;
 }
