--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -56,8 +56,8 @@
     std::vector<std::pair<std::string, LoadSum>> load_sums;   // from the relay
     std::vector<CacheFeed::Taken> kept;                       // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
-    std::vector<NewsNote> notes;  // for the log
-    bool news = false;            // something a snapshot is made of changed
+    std::vector<UpdateNote> notes;  // for the log
+    bool news = false;              // something a snapshot is made of changed
 };
 
 struct Control {
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -35,7 +35,7 @@
 }
 
 // What became of a question: nothing in time, or an answer after another question had been asked.
-struct NewsNote {
+struct UpdateNote {
     int partition = 0;
     std::string whom;
     Microseconds age = 0;  // since it was asked
