--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -74,7 +74,7 @@
         Microseconds since = 0;
     };
     std::vector<WaitingAsk> waiting_asks;
-    NewsCounts news_counts;
+    UpdateCounts news_counts;
     VersionNamings namings;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -43,7 +43,7 @@
 };
 
 // The same, counted since the start.
-struct NewsCounts {
+struct UpdateCounts {
     std::uint64_t asked = 0;
     std::uint64_t unanswered = 0;
     std::uint64_t late = 0;
--- a/source/process/news_sight.cpp
+++ b/source/process/news_sight.cpp
@@ -8,7 +8,7 @@
 constexpr Microseconds news_log_interval = 200 * one_millisecond;
 }  // namespace
 
-auto NewsSight::take(NewsCounts const& counts, std::vector<UpdateNote> const& notes) -> void {
+auto NewsSight::take(UpdateCounts const& counts, std::vector<UpdateNote> const& notes) -> void {
     asked = counts.asked;
     unanswered = counts.unanswered;
     late = counts.late;
--- a/source/process/news_sight.hpp
+++ b/source/process/news_sight.hpp
@@ -14,7 +14,7 @@
     std::atomic<Microseconds> refusal_logged{-3'600 * one_second};  // at most one each interval
 
     // Inside the control's work, after each of its steps.
-    auto take(NewsCounts const& counts, std::vector<UpdateNote> const& notes) -> void;
+    auto take(UpdateCounts const& counts, std::vector<UpdateNote> const& notes) -> void;
     // A request was refused as the configuration says.
     auto refused(int status, Sequence const& sequence, Microseconds proof_age, Microseconds now) -> void;
     auto write(std::string& text) const -> void;
