--- a/source/process/news_sight.cpp
+++ b/source/process/news_sight.cpp
@@ -8,7 +8,7 @@
 constexpr Microseconds news_log_interval = 200 * one_millisecond;
 }  // namespace
 
-auto NewsSight::take(UpdateCounts const& counts, std::vector<UpdateNote> const& notes) -> void {
+auto UpdateMetrics::take(UpdateCounts const& counts, std::vector<UpdateNote> const& notes) -> void {
     asked = counts.asked;
     unanswered = counts.unanswered;
     late = counts.late;
@@ -24,7 +24,7 @@
     }
 }
 
-auto NewsSight::refused(int status, Sequence const& sequence, Microseconds proof_age, Microseconds now) -> void {
+auto UpdateMetrics::refused(int status, Sequence const& sequence, Microseconds proof_age, Microseconds now) -> void {
     ++refusals;
     if (proof_age > oldest_refusal) oldest_refusal = proof_age;
     auto logged = refusal_logged.load();
@@ -34,7 +34,7 @@
         fields("status", status, "sequence", etag_of(sequence), "proof_age_microseconds", proof_age));
 }
 
-auto NewsSight::write(std::string& text) const -> void {
+auto UpdateMetrics::write(std::string& text) const -> void {
     auto const line = [&](std::string const& name, auto value) {
         text += "dockrock_" + name + " " + std::to_string(value) + "\n";
     };
--- a/source/process/news_sight.hpp
+++ b/source/process/news_sight.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct NewsSight {
+struct UpdateMetrics {
     std::atomic<std::uint64_t> asked{0}, unanswered{0}, late{0}, unknown{0}, refusals{0};
     std::atomic<Microseconds> latest{0};                            // the greatest age of a late answer
     std::atomic<Microseconds> oldest_refusal{0};                    // the greatest proof age under which rules refused
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -52,7 +52,7 @@
     SnapshotHolder snapshot;
     Counters counters;
     Measures measures;
-    NewsSight sight;
+    UpdateMetrics sight;
     EntryTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
     std::atomic<std::uint64_t> next_ticket{1};
     asio::signal_set stop_signals{context};
