--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -20,7 +20,7 @@
     item.ask_token = 0;
 }
 
-auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk* {
+auto past_ask(PartitionView& item, std::uint64_t token) -> PastRequest* {
     auto const found =
         std::find_if(item.past_asks.begin(), item.past_asks.end(), [&](auto const& ask) { return ask.token == token; });
     return found == item.past_asks.end() ? nullptr : &*found;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -52,7 +52,7 @@
 };
 
 // A question that is no longer waited for: asked anew, or answered.
-struct PastAsk {
+struct PastRequest {
     std::uint64_t token = 0;
     std::string whom;
     Microseconds asked_at = 0;
@@ -75,8 +75,8 @@
     Microseconds direct_until = 0;  // the owner is asked, not the relay
     Microseconds asked_at = 0;
     std::string asked_whom;
-    std::deque<PastAsk> past_asks;  // the last few questions that are no longer waited for
-    std::uint64_t told_term = 0;    // as leader: the term that all members were told of
+    std::deque<PastRequest> past_asks;  // the last few questions that are no longer waited for
+    std::uint64_t told_term = 0;        // as leader: the term that all members were told of
     int unanswered = 0;
 };
 
@@ -84,7 +84,7 @@
 // The question under way is no longer waited for; it stays remembered for a while.
 auto pass_by(PartitionView& item, bool answered) -> void;
 // Of all that are remembered; null: no such question.
-auto past_ask(PartitionView& item, std::uint64_t token) -> PastAsk*;
+auto past_ask(PartitionView& item, std::uint64_t token) -> PastRequest*;
 // Whole, or as the difference from what the asker holds, whichever is smaller.
 auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The same; the difference that many ask for is made once.
