--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -68,12 +68,12 @@
     std::array<Partition, partition_count> partitions;
     std::array<PartitionView, partition_count> news;
     std::array<PartitionWatch, partition_count> watches;
-    struct WaitingAsk {
+    struct HeldRequest {
         std::string address;
         UpdateRequest ask;
         Microseconds since = 0;
     };
-    std::vector<WaitingAsk> waiting_asks;
+    std::vector<HeldRequest> waiting_asks;
     UpdateCounts news_counts;
     VersionNamings namings;
     std::map<std::uint64_t, PendingCall> calls;
@@ -184,7 +184,7 @@
     auto publish(Microseconds now, ControlOutput& output) -> void;
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
     auto ask_news(Microseconds now, ControlOutput& output) -> void;
-    auto answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void;
+    auto answer_news(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait) -> void;
     auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -67,7 +67,7 @@
 
 // Ages are told as of the question's arrival: the asker counts from when it
 // asked, and the time that the question was held here is no age (design 8.2).
-auto Control::answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void {
+auto Control::answer_news(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait) -> void {
     auto const& ask = waiting.ask;
     auto& item = news[static_cast<std::size_t>(ask.partition)];
     auto const live_age = waiting.since - item.live_at;
