--- a/source/control/replica_weights.hpp
+++ b/source/control/replica_weights.hpp
@@ -9,7 +9,7 @@
     bool loading = false;                          // an order is under way, or may be: nothing new goes there
     auto operator==(ReplicaWeights const&) const -> bool = default;
 };
-using WeightsWords = std::map<std::string, ReplicaWeights>;  // by replica
+using WeightsStates = std::map<std::string, ReplicaWeights>;  // by replica
 
 inline constexpr auto first_version = std::int64_t{1};  // of weights that nobody has named yet
 
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -48,13 +48,13 @@
 
 }  // namespace
 
-auto read_words(std::string const& text) -> WeightsWords {
+auto read_words(std::string const& text) -> WeightsStates {
     auto const parsed = text.empty() ? std::nullopt : parse_json(text);
     if (!parsed) return {};
-    WeightsWords words;
+    WeightsStates words;
     Problems problems;
     read_json(*parsed, words, "", problems);
-    return problems.empty() ? words : WeightsWords();
+    return problems.empty() ? words : WeightsStates();
 }
 
 auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form) -> std::shared_ptr<Snapshot> {
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -16,7 +16,7 @@
     std::map<std::string, std::string> target_weights;
     std::map<std::string, std::int64_t> target_versions;  // by model, where a version was named
     std::map<std::string, NamedVersions> named;           // of these, since when this node or others knew
-    WeightsWords replica_weights;                         // of the replicas listed
+    WeightsStates replica_weights;                        // of the replicas listed
     std::set<std::string> resting;
     OverdueCheck overdue_check;  // for the check of what is written
 
@@ -32,6 +32,6 @@
     -> std::shared_ptr<Snapshot>;
 
 // An leader's words of its replicas; none where the text can't be read.
-auto read_words(std::string const& text) -> WeightsWords;
+auto read_words(std::string const& text) -> WeightsStates;
 
 }  // namespace dockrock
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -206,7 +206,7 @@
     course.ordered_at = course.heard_at = course.next = now;
 }
 
-auto VersionsRollout::words(std::string const& model, WeightsWords& into) const -> void {
+auto VersionsRollout::words(std::string const& model, WeightsStates& into) const -> void {
     for (auto const& [name, course] : courses) {
         auto const closed = course.stage != Stage::idle || course.overdue;
         if (!course.told && !closed && course.version <= course.listed) continue;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -117,7 +117,7 @@
     // What a former leader told of a replica: an order may be under way there.
     auto adopt(ListedReplica const& replica, std::int64_t version, bool loading, Microseconds now) -> void;
     // The present word of each replica that the list does not tell.
-    auto words(std::string const& model, WeightsWords& into) const -> void;
+    auto words(std::string const& model, WeightsStates& into) const -> void;
     auto under_way() const -> bool;
     // Its weights are older than what has to serve everywhere soon: nothing new goes there.
     auto late(Course const& course, Microseconds now) const -> bool;
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -66,8 +66,8 @@
     for (auto const& entry : snapshot.list.replicas)
         if (ordering_partition(entry) == partition)
             for (auto const& [model, version] : entry.weights) models.insert(model);
-    auto told = WeightsWords();
-    auto words = WeightsWords();
+    auto told = WeightsStates();
+    auto words = WeightsStates();
     auto read_told = false;
     auto behind = false;
     for (auto const& model : models) {
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -51,7 +51,7 @@
     }
     auto late(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= late_from(held); }
     // Replicas are judged when something was heard of them, and again at this moment.
-    auto plan_judging(WeightsWords const& replicas, Microseconds now) -> void {
+    auto plan_judging(WeightsStates const& replicas, Microseconds now) -> void {
         judge_at = never;
         for (auto const& [name, held] : replicas)
             if (auto const from = late_from(held); from > now) judge_at = std::min(judge_at, from);
@@ -69,7 +69,7 @@
         withheld.erase(replica);
         return false;
     }
-    auto forget_others(WeightsWords const& listed) -> void {
+    auto forget_others(WeightsStates const& listed) -> void {
         std::erase_if(withheld, [&](auto const& name) { return !listed.contains(name); });
     }
 };
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -101,7 +101,7 @@
     // How many get new requests though their weights are older than what has to
     // serve everywhere: nodes send where no word forbids it.
     auto open_after(Microseconds time) const -> int {
-        auto words = WeightsWords();
+        auto words = WeightsStates();
         rollout.words("m", words);
         auto open = 0;
         for (auto const& [name, replica] : replicas) {
--- a/tests/small_service_test.cpp
+++ b/tests/small_service_test.cpp
@@ -12,7 +12,7 @@
 
 // How many replicas are sent new requests now.
 auto serving(Pool const& pool) -> int {
-    auto words = WeightsWords();
+    auto words = WeightsStates();
     pool.rollout.words("m", words);
     auto count = 0;
     for (auto const& [name, replica] : pool.replicas)
--- a/tests/version_late_test.cpp
+++ b/tests/version_late_test.cpp
@@ -56,7 +56,7 @@
     guard.take_targets({{"m", 2}}, known_at);
     guard.take_targets({{"m", 3}}, known_at + 2 * one_second);
     auto const late_at = known_at + guard.bound - weights_margin;
-    auto const replicas = WeightsWords{{"a", {{{"m", 1}}}}, {"b", {{{"m", 2}}}}, {"c", {{{"m", 3}}}}};
+    auto const replicas = WeightsStates{{"a", {{{"m", 1}}}}, {"b", {{{"m", 2}}}}, {"c", {{{"m", 3}}}}};
     guard.plan_judging(replicas, known_at + 3 * one_second);
     CHECK(guard.judge_at == late_at);
     guard.plan_judging(replicas, late_at);
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -30,7 +30,7 @@
     auto pool = Pool(9);
     REQUIRE(pool.run_until([&] { return pool.orders >= 4; }, 5 * one_second));
     auto const before = pool.orders;
-    auto words = WeightsWords();
+    auto words = WeightsStates();
     pool.rollout.words("m", words);
     pool.rollout = VersionsRollout();
     pool.rollout.target = 2;
