--- a/source/control/resting.hpp
+++ b/source/control/resting.hpp
@@ -16,7 +16,7 @@
     Microseconds step = one_second;       // at most one more node rests in this time
     Microseconds grace = 3 * one_second;  // traffic from before it rested is not held against a node
 };
-struct RestingNode {
+struct EdgeTraffic {
     std::string identity;
     std::string area;
     double rate = 0.0;  // tickets each second, from its digests
@@ -29,9 +29,9 @@
     std::map<std::string, Microseconds> rested_at;
 
     // The set that should rest, where it differs from `now_resting`.
-    auto step(std::vector<RestingNode> const& edges, std::set<std::string> const& now_resting, Microseconds now)
+    auto step(std::vector<EdgeTraffic> const& edges, std::set<std::string> const& now_resting, Microseconds now)
         -> std::optional<std::set<std::string>>;
-    auto least_awake(std::vector<RestingNode> const& edges) const -> std::size_t;
+    auto least_awake(std::vector<EdgeTraffic> const& edges) const -> std::size_t;
 
    private:
     // Who is to rest, and what stays awake then.
@@ -40,9 +40,9 @@
         std::map<std::string, int> awake_in_area;
         std::size_t awake = 0;
     };
-    auto still_rests(RestingNode const& node, std::set<std::string> const& now_resting, Microseconds now) const -> bool;
-    static auto wake_needed(std::vector<RestingNode> const& edges, std::size_t least, Plan& plan) -> void;
-    auto rest_one(std::vector<RestingNode> const& edges, Plan& plan, Microseconds now) -> void;
+    auto still_rests(EdgeTraffic const& node, std::set<std::string> const& now_resting, Microseconds now) const -> bool;
+    static auto wake_needed(std::vector<EdgeTraffic> const& edges, std::size_t least, Plan& plan) -> void;
+    auto rest_one(std::vector<EdgeTraffic> const& edges, Plan& plan, Microseconds now) -> void;
 };
 
 }  // namespace dockrock
--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -40,7 +40,7 @@
         resting.low_since = 0;
         return;
     }
-    std::vector<RestingNode> edges;
+    std::vector<EdgeTraffic> edges;
     {
         auto const guard = std::lock_guard(table.lock);
         for (auto const& member : control.membership.alive_members(false)) {
--- a/tests/resting_test.cpp
+++ b/tests/resting_test.cpp
@@ -5,14 +5,14 @@
 using namespace dockrock;
 
 namespace {
-auto edges(double rate) -> std::vector<RestingNode> {
-    std::vector<RestingNode> nodes;
+auto edges(double rate) -> std::vector<EdgeTraffic> {
+    std::vector<EdgeTraffic> nodes;
     for (auto number = 0; number < 9; ++number)
         nodes.push_back({"e" + std::to_string(number), "area-" + std::to_string(number % 4), rate});
     return nodes;
 }
 auto settle(
-    Resting& resting, std::vector<RestingNode> const& nodes, std::set<std::string> set, Microseconds from,
+    Resting& resting, std::vector<EdgeTraffic> const& nodes, std::set<std::string> set, Microseconds from,
     Microseconds length) -> std::set<std::string> {
     for (auto now = from; now < from + length; now += 500 * one_millisecond) {
         auto seen = nodes;
