--- a/source/control/resting.cpp
+++ b/source/control/resting.cpp
@@ -6,7 +6,7 @@
 
 namespace dockrock {
 
-auto Resting::least_awake(std::vector<EdgeTraffic> const& edges) const -> std::size_t {
+auto RestingPolicy::least_awake(std::vector<EdgeTraffic> const& edges) const -> std::size_t {
     auto total = 0.0;
     std::set<std::string> areas;
     for (auto const& node : edges) {
@@ -19,14 +19,15 @@
 }
 
 // A resting node that was given traffic is awake already.
-auto Resting::still_rests(EdgeTraffic const& node, std::set<std::string> const& now_resting, Microseconds now) const
-    -> bool {
+auto RestingPolicy::still_rests(
+    EdgeTraffic const& node, std::set<std::string> const& now_resting, Microseconds now) const -> bool {
     auto const rested = rested_at.find(node.identity);
     auto const in_grace = rested != rested_at.end() && now - rested->second < options.grace;
     return now_resting.contains(node.identity) && (node.rate <= 0.0 || in_grace);
 }
 
-auto Resting::step(std::vector<EdgeTraffic> const& edges, std::set<std::string> const& now_resting, Microseconds now)
+auto RestingPolicy::step(
+    std::vector<EdgeTraffic> const& edges, std::set<std::string> const& now_resting, Microseconds now)
     -> std::optional<std::set<std::string>> {
     Plan plan;
     for (auto const& node : edges) {
@@ -51,7 +52,7 @@
 }
 
 // Nodes are woken at once, those of the emptiest area first.
-auto Resting::wake_needed(std::vector<EdgeTraffic> const& edges, std::size_t least, Plan& plan) -> void {
+auto RestingPolicy::wake_needed(std::vector<EdgeTraffic> const& edges, std::size_t least, Plan& plan) -> void {
     auto const area_asleep = [&] {
         return std::any_of(
             edges.begin(), edges.end(), [&](auto const& node) { return plan.awake_in_area[node.area] == 0; });
@@ -72,7 +73,7 @@
 }
 
 // The idlest node of the fullest area, if that area keeps another one awake.
-auto Resting::rest_one(std::vector<EdgeTraffic> const& edges, Plan& plan, Microseconds now) -> void {
+auto RestingPolicy::rest_one(std::vector<EdgeTraffic> const& edges, Plan& plan, Microseconds now) -> void {
     auto const order = [&](EdgeTraffic const& node) { return std::pair(-plan.awake_in_area[node.area], node.rate); };
     EdgeTraffic const* chosen = nullptr;
     for (auto const& node : edges) {
--- a/source/control/resting.hpp
+++ b/source/control/resting.hpp
@@ -22,7 +22,7 @@
     double rate = 0.0;  // tickets each second, from its digests
 };
 
-struct Resting {
+struct RestingPolicy {
     RestingOptions options;
     Microseconds low_since = 0;
     Microseconds last_step = 0;
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -81,7 +81,7 @@
     std::array<std::uint64_t, partition_count> logged_epochs{};             // these three inside control_work
     std::array<bool, partition_count> logged_owned{};
     bool load_relayed = false;                 // the table holds the same
-    Resting resting;                           // inside control_work
+    RestingPolicy resting;                     // inside control_work
     std::atomic<Microseconds> awake_until{0};  // a ticket woke this node
     Orders orders;                             // inside control_work
     ListPace list_pace;                        // inside control_work; its bounds are set once
--- a/tests/resting_test.cpp
+++ b/tests/resting_test.cpp
@@ -12,7 +12,7 @@
     return nodes;
 }
 auto settle(
-    Resting& resting, std::vector<EdgeTraffic> const& nodes, std::set<std::string> set, Microseconds from,
+    RestingPolicy& resting, std::vector<EdgeTraffic> const& nodes, std::set<std::string> set, Microseconds from,
     Microseconds length) -> std::set<std::string> {
     for (auto now = from; now < from + length; now += 500 * one_millisecond) {
         auto seen = nodes;
@@ -25,7 +25,7 @@
 }  // namespace
 
 TEST_CASE("in light traffic nodes rest one at a time, never below one an area and one to lose") {
-    auto resting = Resting();
+    auto resting = RestingPolicy();
     auto const nodes = edges(0.5);
     CHECK(settle(resting, nodes, {}, one_second, 3 * one_second).empty());  // not before it is calm
     auto const set = settle(resting, nodes, {}, 4 * one_second, 60 * one_second);
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("a sudden rise wakes what is needed in one step, a lost node is made good") {
-    auto resting = Resting();
+    auto resting = RestingPolicy();
     auto const set = settle(resting, edges(0.5), {}, one_second, 60 * one_second);
     auto busy = edges(0.0);
     for (auto& node : busy)
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("a resting node that is given traffic is awake, and traffic that comes and goes does not make nodes flap") {
-    auto resting = Resting();
+    auto resting = RestingPolicy();
     auto set = settle(resting, edges(0.5), {}, one_second, 60 * one_second);
     auto nodes = edges(0.5);
     auto changes = 0;
