--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -77,7 +77,7 @@
 auto keeps_connection(HttpRequest const& request) -> bool { return request.keep_alive(); }
 
 auto head_for_replica(
-    RelayForm const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
+    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
     std::int64_t last_event, Microseconds time_left) -> std::string {
     auto const& names = form.headers;
     auto const own = std::to_array<std::string_view>(
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -77,7 +77,7 @@
 // The head of a try for its replica: what belongs to one connection, and what
 // the fleet sets itself, is never the client's. `time_left`: until the replica is to cease work.
 auto head_for_replica(
-    RelayForm const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
+    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
     std::int64_t last_event, Microseconds time_left) -> std::string;
 auto head_for_client(ReceivedAnswer const& from, bool chunked, std::optional<std::uint64_t> length, bool keep)
     -> std::string;
--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -75,7 +75,7 @@
     std::vector<KeptEvent> events;
 };
 
-struct RelayForm {
+struct WireProtocol {
     std::string name;
     HeaderNames headers;
     bool takes_content_codings = true;  // false: a success in a content coding is not the body that clients asked for
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -42,7 +42,7 @@
     std::string settings_file;                      // looked at now and then; may be empty
     MachineLimits limits;                           // read once, at the start
     MemoryBudget message_memory;                    // of messages held whole: requests, calls, failures
-    RelayForm const* form = nullptr;                // where this fleet relays requests: how its wire speaks
+    WireProtocol const* form = nullptr;             // where this fleet relays requests: how its wire speaks
     asio::io_context context;
     Storage storage;
     Transport transport;
--- a/source/process/run_node.hpp
+++ b/source/process/run_node.hpp
@@ -9,7 +9,7 @@
     std::function<Problems(NodeSettings&)> read;
     std::string settings_file;
     bool check_only = false;
-    RelayForm const* form = nullptr;
+    WireProtocol const* form = nullptr;
 };
 
 // The exit status.
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -8,7 +8,7 @@
 // Design 8.3: what matching may grant under a proof, the last checks let through;
 // else a request goes round between the two, and nothing else gets the processor.
 TEST_CASE("the last checks hold the proof limit that matching holds", "[course]") {
-    auto form = RelayForm();
+    auto form = WireProtocol();
     auto node = std::make_unique<Node>();
     node->form = &form;
     node->settings.bounds.revoke = 5 * one_second;
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -13,7 +13,7 @@
 // A node that leads the configuration's partition, with a follower that has all, and one connection to a door of it.
 struct Door {
     asio::io_context context{1};
-    RelayForm form;
+    WireProtocol form;
     std::unique_ptr<Node> node = std::make_unique<Node>();
     tcp::acceptor acceptor{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     tcp::socket client{context};
--- a/tests/platform/live/relay_node_check.cpp
+++ b/tests/platform/live/relay_node_check.cpp
@@ -131,7 +131,7 @@
 // Real clocks and sockets: a program of its own.
 TEST_CASE("a node with a form reads the list and brings replicas to the version named") {
     auto stand_in = StandIn(8);
-    auto form = RelayForm();
+    auto form = WireProtocol();
     platform::fill_calls(form);
     auto const folder = std::filesystem::temp_directory_path() / ("dockrock-relay-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder);
--- a/tests/relay_form.hpp
+++ b/tests/relay_form.hpp
@@ -4,8 +4,8 @@
 
 namespace dockrock::testing {
 
-inline auto relay_form() -> RelayForm {
-    RelayForm form;
+inline auto relay_form() -> WireProtocol {
+    WireProtocol form;
     form.headers.request_identity = "Request-Name";
     form.headers.key = "Secret";
     form.headers.tenant = "Group";
--- a/tests/request_wire_helpers.hpp
+++ b/tests/request_wire_helpers.hpp
@@ -33,7 +33,7 @@
 
 struct Wire {
     asio::io_context context{1};
-    RelayForm form;
+    WireProtocol form;
     std::unique_ptr<Node> node = std::make_unique<Node>();
     tcp::acceptor door{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     tcp::acceptor client_door{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
