--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -19,7 +19,7 @@
 }
 
 // Under a relaying form the document is one of services.
-auto compile_relayed(Copy const& copy, DocumentForm const& form) -> std::shared_ptr<Rules const> {
+auto compile_relayed(Copy const& copy, DocumentFormat const& form) -> std::shared_ptr<Rules const> {
     auto rules = std::make_shared<Rules>();
     rules->sequence = copy.sequence;
     Problems problems;
@@ -57,7 +57,8 @@
     return problems.empty() ? words : WeightsStates();
 }
 
-auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form) -> std::shared_ptr<Snapshot> {
+auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form)
+    -> std::shared_ptr<Snapshot> {
     auto fresh = std::make_shared<Snapshot>();
     auto const& configuration = control.news[configuration_partition];
     fresh->document_bytes = configuration.copy.document.size();
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -28,7 +28,7 @@
 using SnapshotPointer = std::shared_ptr<Snapshot const>;
 
 // What did not change since `old` is taken over from it unread.
-auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form = nullptr)
+auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form = nullptr)
     -> std::shared_ptr<Snapshot>;
 
 // An leader's words of its replicas; none where the text can't be read.
--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -82,7 +82,7 @@
     std::string ready_path;
     std::string configuration_path;
     std::string weights_path;
-    DocumentForm documents;
+    DocumentFormat documents;
     std::function<std::optional<WeightsNamed>(std::string_view body)> read_weights_named;
     // The platform's list of replicas.
     std::function<HttpCall(std::string const& page)> list_call;
--- a/source/version/changes.cpp
+++ b/source/version/changes.cpp
@@ -41,7 +41,7 @@
     return sha256_of(text);
 }
 
-auto apply_versioned(DocumentForm const& form, Copy const& current, Call const& call) -> ChangeResult {
+auto apply_versioned(DocumentFormat const& form, Copy const& current, Call const& call) -> ChangeResult {
     Problems problems;
     // Before all else: nothing larger than a document can be is read.
     if (is_too_large(call.body, problems)) return refused(413, problems);
--- a/source/version/changes.hpp
+++ b/source/version/changes.hpp
@@ -14,7 +14,7 @@
 auto change_identity(std::string_view operation, std::string_view base, std::string_view body) -> std::string;
 
 // Operations "put" (the whole document) and "patch" (named items) on a base.
-auto apply_versioned(DocumentForm const& form, Copy const& current, Call const& call) -> ChangeResult;
+auto apply_versioned(DocumentFormat const& form, Copy const& current, Call const& call) -> ChangeResult;
 
 // The weights named for models: a JSON object from model to version.
 using WeightsVersions = std::map<std::string, std::int64_t>;
--- a/source/version/services.hpp
+++ b/source/version/services.hpp
@@ -67,7 +67,7 @@
 };
 
 // The two functions of a fleet's form (process/form.hpp) that know documents.
-struct DocumentForm {
+struct DocumentFormat {
     // Into the product's own structure; empty: it can't be read.
     std::function<std::optional<ServiceDocument>(std::string_view text, Problems& problems)> read_document;
     // The whole document that a change of named items results in.
--- a/tests/platform/merging_test.cpp
+++ b/tests/platform/merging_test.cpp
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("the platform's changes pass the product's rules") {
-    auto const form = DocumentForm{platform::read_document, platform::merge_document};
+    auto const form = DocumentFormat{platform::read_document, platform::merge_document};
     Copy current;
     auto const status_of = [&](std::string const& operation, std::string const& base, std::string const& body) {
         auto result = apply_versioned(form, current, Call{0, "", operation, "", body, base});
--- a/tests/services_helpers.hpp
+++ b/tests/services_helpers.hpp
@@ -34,7 +34,7 @@
     for (auto const& item : wanted->as_object()) whole->as_object()[item.key()] = item.value();
     return json::serialize(*whole);
 }
-inline auto plain_form() -> DocumentForm { return {read_plain, merge_plain}; }
+inline auto plain_form() -> DocumentFormat { return {read_plain, merge_plain}; }
 
 inline auto services_text(std::int64_t version) -> std::string {
     return R"({"version":)" + std::to_string(version) + R"(,"keyed":true,
