--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -75,7 +75,7 @@
     };
     std::vector<HeldRequest> waiting_asks;
     UpdateCounts news_counts;
-    VersionNamings namings;
+    VersionHistory namings;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
     std::optional<PendingAnew> anew;
--- a/source/control/version_namings.cpp
+++ b/source/control/version_namings.cpp
@@ -4,14 +4,14 @@
 
 namespace dockrock {
 
-auto VersionNamings::learn(std::string const& document, Microseconds now) -> void {
+auto VersionHistory::learn(std::string const& document, Microseconds now) -> void {
     auto const parsed = document.empty() ? std::nullopt : parse_json(document);
     if (!parsed || !parsed->is_object()) return;
     for (auto const& item : parsed->as_object())
         if (item.value().is_int64() && by_model[item.key()].take(item.value().as_int64(), now)) learned_at = now;
 }
 
-auto VersionNamings::take(NamedAges const& told, Microseconds now) -> bool {
+auto VersionHistory::take(NamedAges const& told, Microseconds now) -> bool {
     auto changed = false;
     for (auto const& [model, versions] : told) {
         NamedVersions other;
@@ -26,7 +26,7 @@
     return changed;
 }
 
-auto VersionNamings::ages(Microseconds now) const -> NamedAges {
+auto VersionHistory::ages(Microseconds now) const -> NamedAges {
     NamedAges told;
     for (auto const& [model, named] : by_model)
         for (auto const& [version, moment] : named.at)
@@ -34,7 +34,7 @@
     return told;
 }
 
-auto VersionNamings::ask_due(Microseconds now) -> bool {
+auto VersionHistory::ask_due(Microseconds now) -> bool {
     if (now - learned_at >= ask_for || now - asked_at < ask_interval) return false;
     asked_at = now;
     return true;
--- a/source/control/version_namings.hpp
+++ b/source/control/version_namings.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct VersionNamings {
+struct VersionHistory {
     static constexpr Microseconds ask_for = 5 * one_second;  // since the last version that was new to this node
     static constexpr Microseconds ask_interval = one_second;
     static constexpr Microseconds longest_age = 3'600 * one_second;  // any older one says the same
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -10,8 +10,8 @@
 constexpr auto named_at = 1'000 * one_second;
 constexpr auto skew = 500 * one_second;  // between the clocks of two nodes
 
-auto knower() -> VersionNamings {
-    VersionNamings namings;
+auto knower() -> VersionHistory {
+    VersionHistory namings;
     namings.learn(R"({"m":2})", named_at);
     namings.learn(R"({"m":3,"other":"text"})", named_at + 4 * one_second);
     return namings;
@@ -21,7 +21,7 @@
 
 TEST_CASE("a node that was told counts from the naming by its own clock, later by the message's way alone") {
     auto const knows = knower();
-    auto restarted = VersionNamings();
+    auto restarted = VersionHistory();
     auto const asked = named_at + 9 * one_second;
     restarted.learn(R"({"m":3})", asked + skew);
     CHECK(*restarted.by_model["m"].named_after(1) == asked + skew);
@@ -39,7 +39,7 @@
 
 TEST_CASE("nodes that tell each other for long come to no moment before the naming") {
     auto random = Random{7};
-    auto nodes = std::vector<VersionNamings>(5);
+    auto nodes = std::vector<VersionHistory>(5);
     auto now = named_at;
     nodes[0].learn(R"({"m":2})", now);
     for (auto round = 0; round < 2'000; ++round) {
@@ -56,12 +56,12 @@
 }
 
 TEST_CASE("an age that can't be counts as the nearest one that can, and first versions are never named") {
-    auto node = VersionNamings();
+    auto node = VersionHistory();
     node.take({{"m", {{2, -5}, {3, 1'000'000 * one_second}, {1, 5}, {0, 5}, {-4, 5}}}}, named_at);
     CHECK(node.by_model["m"].at.size() == 2);
     CHECK(node.by_model["m"].at[2] == named_at);
-    CHECK(node.by_model["m"].at[3] == named_at - VersionNamings::longest_age);
-    CHECK(*node.by_model["m"].named_after(1) == named_at - VersionNamings::longest_age);
+    CHECK(node.by_model["m"].at[3] == named_at - VersionHistory::longest_age);
+    CHECK(*node.by_model["m"].named_after(1) == named_at - VersionHistory::longest_age);
     node.learn("[]", named_at);
     node.learn("{", named_at);
     node.learn(R"({"m":1,"n":"2"})", named_at);
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("others are asked each second for a while after a version was new, and not otherwise") {
-    auto node = VersionNamings();
+    auto node = VersionHistory();
     CHECK_FALSE(node.ask_due(named_at));
     auto const asked_in = [&](Microseconds from, Microseconds length) {
         auto count = 0;
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a version that is told before the document names it is new to the node, and others are asked") {
-    auto node = VersionNamings();
+    auto node = VersionHistory();
     node.take({{"m", {{3, 100 * one_millisecond}}}}, named_at);
     node.learn(R"({"m":3})", named_at + one_millisecond);
     CHECK(node.ask_due(named_at + one_millisecond));
