--- a/source/control/named_versions.hpp
+++ b/source/control/named_versions.hpp
@@ -14,7 +14,7 @@
 // of it, and what lies unstarted at the replica has begun or was turned away.
 inline constexpr Microseconds weights_margin = 2'500 * one_millisecond;
 
-struct NamedVersions {
+struct VersionTimes {
     static constexpr std::size_t most = 64;
     std::map<std::int64_t, Microseconds> at;
 
@@ -26,7 +26,7 @@
         return true;
     }
     // Another account of the same versions: of each the earlier moment counts. True where it changed anything.
-    auto merge(NamedVersions const& other) -> bool {
+    auto merge(VersionTimes const& other) -> bool {
         auto changed = false;
         for (auto const& [version, moment] : other.at) {
             auto const [place, fresh] = at.try_emplace(version, moment);
@@ -37,7 +37,7 @@
         return changed;
     }
     auto newest() const -> std::int64_t { return at.empty() ? first_version : at.rbegin()->first; }
-    auto up_to(std::int64_t version) const -> NamedVersions { return {{at.begin(), at.upper_bound(version)}}; }
+    auto up_to(std::int64_t version) const -> VersionTimes { return {{at.begin(), at.upper_bound(version)}}; }
     // When a version above `held` was named first: newer ones give no more time.
     auto named_after(std::int64_t held) const -> std::optional<Microseconds> {
         auto first = std::optional<Microseconds>();
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -32,8 +32,8 @@
 // A version that this node's document does not name can't be ordered, so it makes no replica late:
 // one that others tell of may have been lost with its disks.
 auto named_here(VersionHistory const& namings, std::map<std::string, std::int64_t> const& targets)
-    -> std::map<std::string, NamedVersions> {
-    std::map<std::string, NamedVersions> named;
+    -> std::map<std::string, VersionTimes> {
+    std::map<std::string, VersionTimes> named;
     for (auto const& [model, versions] : namings.by_model)
         if (auto const target = targets.find(model); target != targets.end())
             named[model] = versions.up_to(target->second);
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -15,7 +15,7 @@
     ReplicaList list;
     std::map<std::string, std::string> target_weights;
     std::map<std::string, std::int64_t> target_versions;  // by model, where a version was named
-    std::map<std::string, NamedVersions> named;           // of these, since when this node or others knew
+    std::map<std::string, VersionTimes> named;            // of these, since when this node or others knew
     WeightsStates replica_weights;                        // of the replicas listed
     std::set<std::string> resting;
     OverdueCheck overdue_check;  // for the check of what is written
--- a/source/control/version_namings.cpp
+++ b/source/control/version_namings.cpp
@@ -14,7 +14,7 @@
 auto VersionHistory::take(NamedAges const& told, Microseconds now) -> bool {
     auto changed = false;
     for (auto const& [model, versions] : told) {
-        NamedVersions other;
+        VersionTimes other;
         for (auto const& named : versions)
             if (named.version > first_version)
                 other.at[named.version] = now - std::clamp(named.age, std::int64_t{0}, std::int64_t{longest_age});
--- a/source/control/version_namings.hpp
+++ b/source/control/version_namings.hpp
@@ -11,7 +11,7 @@
     static constexpr Microseconds ask_for = 5 * one_second;  // since the last version that was new to this node
     static constexpr Microseconds ask_interval = one_second;
     static constexpr Microseconds longest_age = 3'600 * one_second;  // any older one says the same
-    std::map<std::string, NamedVersions> by_model;
+    std::map<std::string, VersionTimes> by_model;
     Microseconds learned_at = -longest_age;
     Microseconds asked_at = -longest_age;
 
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -99,7 +99,7 @@
         Microseconds shown_at = 0;
     };
     RolloutTimes times;
-    NamedVersions named;
+    VersionTimes named;
     std::int64_t target = 0;
     std::uint64_t fence = 0;
     std::uint64_t stopped_fence = 0;  // a later holder was seen under this fence: no more orders
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -41,7 +41,7 @@
     std::array<Tenure, partition_count> tenures;
     std::map<std::pair<int, std::string>, VersionsRollout> rollouts;  // by partition and model
 
-    std::map<std::string, NamedVersions> named;  // by model, by the clock of this life, as leader or not
+    std::map<std::string, VersionTimes> named;  // by model, by the clock of this life, as leader or not
 
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions;
     auto order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void;
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -18,7 +18,7 @@
     static constexpr Microseconds patience = 3 * one_second;
     Microseconds bound = 0;                             // named weights serve everywhere; none: no bound
     std::bitset<partition_count> heard;                 // service partitions whose leader was heard of in this life
-    std::map<std::string, NamedVersions> named;         // by model
+    std::map<std::string, VersionTimes> named;          // by model
     std::map<std::string, Microseconds> unheard_since;  // by model
     std::set<std::string> withheld;
     Microseconds judge_at = never;  // when the next replica's weights get late
@@ -28,7 +28,7 @@
     auto take_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
         for (auto const& [model, version] : targets) named[model].take(version, now);
     }
-    auto take_named(std::map<std::string, NamedVersions> const& known) -> void {
+    auto take_named(std::map<std::string, VersionTimes> const& known) -> void {
         for (auto const& [model, versions] : known) named[model].merge(versions);
     }
     auto late_from(std::string const& model, std::int64_t version) const -> Microseconds {
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -168,12 +168,12 @@
 }
 
 TEST_CASE("the moments of versions named long ago give way and give nobody more time") {
-    auto named = NamedVersions();
+    auto named = VersionTimes();
     CHECK_FALSE(named.take(1, 5));
     for (auto version = 2; version < 200; ++version) CHECK(named.take(version, 10 * version));
     CHECK_FALSE(named.take(199, 9'999));
     CHECK_FALSE(named.take(50, 9'999));
-    CHECK(named.at.size() == NamedVersions::most);
+    CHECK(named.at.size() == VersionTimes::most);
     CHECK(*named.named_after(1) <= 10 * 136);
     for (auto version = 136; version < 199; ++version) CHECK(*named.named_after(version) == 10 * (version + 1));
     CHECK_FALSE(named.named_after(199));
