--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -224,7 +224,7 @@
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
     LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
-    LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
+    LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
     {"probe",         "probe-answer", "probe-for",     "prepare",      "promise",     "accept",       "accepted",
--- a/source/base/naming_messages.hpp
+++ b/source/base/naming_messages.hpp
@@ -15,7 +15,7 @@
 };
 using NamedAges = std::map<std::string, std::vector<NamedAge>>;  // by model
 
-struct NamingAges {
+struct VersionAges {
     bool asks = false;  // for the receiver's own account
     NamedAges named;
 };
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -168,7 +168,7 @@
     auto on(Arrival const& arrival, LoadSum const& sum) -> void;
     auto on(Arrival const& arrival, FeedAsk const& ask) -> void;
     auto on(Arrival const& arrival, FeedAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, NamingAges const& told) -> void;
+    auto on(Arrival const& arrival, VersionAges const& told) -> void;
     auto on(Arrival const& arrival, CallForward const& forward) -> void;
     auto on(Arrival const& arrival, CallAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ClaimAsk const& ask) -> void;
@@ -198,7 +198,7 @@
         -> void;
     auto learn_namings(int partition, Microseconds now) -> void;
     auto ask_namings(Microseconds now, ControlOutput& output) -> void;
-    auto take_namings(Microseconds now, std::string const& address, NamingAges const& told, ControlOutput& output)
+    auto take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
     auto relays_news(int partition, Microseconds now) const -> bool;
     auto hold_limit(int partition) const -> Microseconds {
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -77,7 +77,7 @@
     take_feed(arrival.now, arrival.from, answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, NamingAges const& told) -> void {
+auto Control::on(Arrival const& arrival, VersionAges const& told) -> void {
     take_namings(arrival.now, arrival.address, told, arrival.output);
 }
 
--- a/source/control/control_namings.cpp
+++ b/source/control/control_namings.cpp
@@ -16,14 +16,14 @@
         std::erase_if(others, [&](auto const& member) { return member.identity == membership.self.identity; });
         if (others.empty()) continue;
         auto const& other = others[random.below(others.size())];
-        output.sends.push_back({other.control_address, NamingAges{true, namings.ages(now)}});
+        output.sends.push_back({other.control_address, VersionAges{true, namings.ages(now)}});
     }
 }
 
-auto Control::take_namings(Microseconds now, std::string const& address, NamingAges const& told, ControlOutput& output)
+auto Control::take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
     -> void {
     if (namings.take(told.named, now)) output.news = true;
-    if (told.asks) output.sends.push_back({address, NamingAges{false, namings.ages(now)}});
+    if (told.asks) output.sends.push_back({address, VersionAges{false, namings.ages(now)}});
 }
 
 }  // namespace dockrock
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -25,10 +25,10 @@
     auto const asked = named_at + 9 * one_second;
     restarted.learn(R"({"m":3})", asked + skew);
     CHECK(*restarted.by_model["m"].named_after(1) == asked + skew);
-    auto const message = read_message(write_message(NamingAges{false, knows.ages(asked)}));
+    auto const message = read_message(write_message(VersionAges{false, knows.ages(asked)}));
     REQUIRE(message);
     auto const way = 300 * one_millisecond;
-    CHECK(restarted.take(std::get<NamingAges>(*message).named, asked + way + skew));
+    CHECK(restarted.take(std::get<VersionAges>(*message).named, asked + way + skew));
     CHECK(*restarted.by_model["m"].named_after(1) == named_at + way + skew);
     CHECK(*restarted.by_model["m"].named_after(2) == named_at + 4 * one_second + way + skew);
     // The same once more, on a longer way, changes nothing; nor does what the other is told in turn.
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -109,7 +109,7 @@
     duties.run(one_second);
     SECTION("none is named") {}
     SECTION("a lower one is named") { name_version(*world, 2); }
-    auto const told = NamingAges{false, {{model, {{5, 60 * one_second}}}}};
+    auto const told = VersionAges{false, {{model, {{5, 60 * one_second}}}}};
     world->act(holder, node.control.receive(world->local(node), "former", "former", told));
     duties.run(2 * one_second);
     CHECK(duties.duties.at(holder).rollouts.at({partition, model}).figures(world->local(node)).overdue == 0);
