--- a/source/base/naming_messages.hpp
+++ b/source/base/naming_messages.hpp
@@ -13,11 +13,11 @@
     std::int64_t version = 0;
     std::int64_t age = 0;  // in microseconds, when it was sent
 };
-using NamedAges = std::map<std::string, std::vector<NamedAge>>;  // by model
+using VersionAgeLists = std::map<std::string, std::vector<NamedAge>>;  // by model
 
 struct VersionAges {
     bool asks = false;  // for the receiver's own account
-    NamedAges named;
+    VersionAgeLists named;
 };
 
 }  // namespace dockrock
--- a/source/control/version_namings.cpp
+++ b/source/control/version_namings.cpp
@@ -11,7 +11,7 @@
         if (item.value().is_int64() && by_model[item.key()].take(item.value().as_int64(), now)) learned_at = now;
 }
 
-auto VersionHistory::take(NamedAges const& told, Microseconds now) -> bool {
+auto VersionHistory::take(VersionAgeLists const& told, Microseconds now) -> bool {
     auto changed = false;
     for (auto const& [model, versions] : told) {
         VersionTimes other;
@@ -26,8 +26,8 @@
     return changed;
 }
 
-auto VersionHistory::ages(Microseconds now) const -> NamedAges {
-    NamedAges told;
+auto VersionHistory::ages(Microseconds now) const -> VersionAgeLists {
+    VersionAgeLists told;
     for (auto const& [model, named] : by_model)
         for (auto const& [version, moment] : named.at)
             told[model].push_back({version, std::min(now - moment, longest_age)});
--- a/source/control/version_namings.hpp
+++ b/source/control/version_namings.hpp
@@ -18,8 +18,8 @@
     // The document of a service partition, which names a version by model.
     auto learn(std::string const& document, Microseconds now) -> void;
     // What another node tells, as it comes. True where it knew of a version earlier, or of another one.
-    auto take(NamedAges const& told, Microseconds now) -> bool;
-    auto ages(Microseconds now) const -> NamedAges;
+    auto take(VersionAgeLists const& told, Microseconds now) -> bool;
+    auto ages(Microseconds now) const -> VersionAgeLists;
     // Whether others may know better and are to be asked now.
     auto ask_due(Microseconds now) -> bool;
 };
