--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -41,7 +41,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadShare, number, nodes, body, names, rates);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadSum, number, base, echo, echo_age, nodes, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CacheBatch, source, store, life, from, next, anew, weights, changes);
-BOOST_HANA_ADAPT_STRUCT(dockrock::NamedAge, version, age);
+BOOST_HANA_ADAPT_STRUCT(dockrock::VersionAge, version, age);
 BOOST_HANA_ADAPT_STRUCT(dockrock::VersionAges, asks, named);
 BOOST_HANA_ADAPT_STRUCT(dockrock::FeedAsk, feed, position, own);
 BOOST_HANA_ADAPT_STRUCT(dockrock::FeedAnswer, feed, position, batches);
--- a/source/base/naming_messages.hpp
+++ b/source/base/naming_messages.hpp
@@ -9,11 +9,11 @@
 
 // An age needs no clock in common: the receiver counts it from when the message came,
 // so what it makes of it is never earlier than what the sender knows.
-struct NamedAge {
+struct VersionAge {
     std::int64_t version = 0;
     std::int64_t age = 0;  // in microseconds, when it was sent
 };
-using VersionAgeLists = std::map<std::string, std::vector<NamedAge>>;  // by model
+using VersionAgeLists = std::map<std::string, std::vector<VersionAge>>;  // by model
 
 struct VersionAges {
     bool asks = false;  // for the receiver's own account
