--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -120,9 +120,9 @@
 
 // A client that finds no room waits to be accepted. Whoever asks whether the node is ready, and operators, always have
 // it.
-auto Node::relay_accept(tcp::acceptor& from, RelayDoor door) -> awaitable<void> {
+auto Node::relay_accept(tcp::acceptor& from, RelayListener door) -> awaitable<void> {
     while (!finished) {
-        if (door == RelayDoor::front && !has_room_for_client()) {
+        if (door == RelayListener::front && !has_room_for_client()) {
             co_await pause(accept_pause);
             continue;
         }
@@ -138,8 +138,8 @@
             co_await session.serve();
         };
         auto const executor = context.get_executor();
-        if (door == RelayDoor::ready) spawn_connection(counters, executor, serve_ready(*this, std::move(socket)));
-        else if (door == RelayDoor::operators)
+        if (door == RelayListener::ready) spawn_connection(counters, executor, serve_ready(*this, std::move(socket)));
+        else if (door == RelayListener::operators)
             spawn_connection(counters, executor, serve_operator(*this, std::move(socket)));
         else spawn_connection(counters, executor, serve(*this, std::move(socket)));
     }
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -98,7 +98,7 @@
     std::unique_ptr<tcp::acceptor> acceptor;                                // on accept_strand alone, once running
     asio::strand<asio::io_context::executor_type> accept_strand{context.get_executor()};
     ReplicaPool pool;                                     // on the one thread of a relaying node
-    std::array<std::unique_ptr<tcp::acceptor>, 3> doors;  // by RelayDoor
+    std::array<std::unique_ptr<tcp::acceptor>, 3> doors;  // by RelayListener
     std::vector<std::thread> threads;
     std::thread disk_thread;
     std::promise<void> disk_ended;  // set by the disk's thread
@@ -189,7 +189,7 @@
     auto listen_everywhere() -> std::optional<ListenFailure>;
     auto listen_at(std::string const& address, std::unique_ptr<tcp::acceptor>& into) -> std::optional<ListenFailure>;
     auto has_room_for_client() const -> bool;
-    auto relay_accept(tcp::acceptor& from, RelayDoor door) -> awaitable<void>;
+    auto relay_accept(tcp::acceptor& from, RelayListener door) -> awaitable<void>;
     auto sweep_loop() -> awaitable<void>;
     auto parts_manager() -> awaitable<void>;
     auto sources_to_read(Snapshot const& current) const -> std::map<std::string, CacheSource>;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -125,7 +125,7 @@
     spawn_essential(accept_strand, accept_loop());
     for (auto door = std::size_t{0}; door < doors.size(); ++door)
         if (doors[door])
-            spawn_essential(context.get_executor(), relay_accept(*doors[door], static_cast<RelayDoor>(door)));
+            spawn_essential(context.get_executor(), relay_accept(*doors[door], static_cast<RelayListener>(door)));
     if (form != nullptr) {
         spawn_essential(context.get_executor(), sweep_loop());
         spawn_essential(context.get_executor(), parts_manager());
--- a/source/process/node_types.hpp
+++ b/source/process/node_types.hpp
@@ -34,7 +34,7 @@
 
 auto fresh_identity() -> std::string;
 
-enum class RelayDoor : int { front, ready, operators };
+enum class RelayListener : int { front, ready, operators };
 
 // A replica or store whose events are read.
 struct CacheSource {
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -20,7 +20,7 @@
     std::string seen;  // by the client
     bool ticks = false;
 
-    explicit Door(RelayDoor door) {
+    explicit Door(RelayListener door) {
         form.configuration_path = "/document";
         form.weights_path = "/weights";
         form.documents.read_document = [](std::string_view, Problems&) { return std::optional(document()); };
@@ -33,7 +33,7 @@
         lead();
         client.connect(acceptor.local_endpoint());
         client.non_blocking(true);
-        auto serve = door == RelayDoor::ready ? serve_ready : serve_operator;
+        auto serve = door == RelayListener::ready ? serve_ready : serve_operator;
         asio::co_spawn(context, serve(*node, acceptor.accept()), asio::detached);
         asio::co_spawn(context, tick(), asio::detached);
     }
@@ -112,7 +112,7 @@
 }  // namespace
 
 TEST_CASE("a leader under a lease reads out what is committed at that moment, whatever the client holds") {
-    auto door = Door(RelayDoor::operators);
+    auto door = Door(RelayListener::operators);
     door.say("GET", "/document");
     door.run_for(moment);
     CHECK(door.heard("HTTP/1.1 200") == 1);
@@ -128,7 +128,7 @@
 }
 
 TEST_CASE("a leader that thaws after its lease answers a read with 503 within a second, never with what it holds") {
-    auto door = Door(RelayDoor::operators);
+    auto door = Door(RelayListener::operators);
     door.say("GET", "/document");
     door.run_for(moment);
     REQUIRE(door.heard("HTTP/1.1 200") == 1);
@@ -146,7 +146,7 @@
 
 // Guards against 503, again and again, for a body that can never be passed on to the leader.
 TEST_CASE("a change that is not UTF-8 gets 400 at any node, not 503") {
-    auto door = Door(RelayDoor::operators);
+    auto door = Door(RelayListener::operators);
     door.grant(clock_now() - door.machine().times.lease_duration);  // it leads no more
     door.ticks = true;
     auto const body = std::string("{\"ver\":2,\"name\":\"\xff\"}");
@@ -160,7 +160,7 @@
 }
 
 TEST_CASE("an answer to HEAD has no body at the doors of operators and of readiness") {
-    for (auto const which : {RelayDoor::operators, RelayDoor::ready}) {
+    for (auto const which : {RelayListener::operators, RelayListener::ready}) {
         auto door = Door(which);
         door.say("HEAD", "/document");
         door.say("GET", "/document");
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE("a node that is told to stop is not ready from then on, also for one that keeps its connection") {
-    auto door = Door(RelayDoor::ready);
+    auto door = Door(RelayListener::ready);
     door.say("GET", "/ready");
     door.run_for(moment);
     CHECK(door.heard("HTTP/1.1 200") == 1);
@@ -186,7 +186,7 @@
 
 TEST_CASE("a node without a configuration, without replicas or with an old proof is not ready") {
     auto const status = [](auto change) {
-        auto door = Door(RelayDoor::ready);
+        auto door = Door(RelayListener::ready);
         change(*door.node);
         door.say("GET", "/ready");
         door.run_for(moment);
