--- a/source/control/list_pace.cpp
+++ b/source/control/list_pace.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 // Shares of the time in which a leaving replica must get nothing new (design 8.4).
-auto ListPace::bound(Microseconds drain, std::int64_t calls) -> void {
+auto ListPolling::bound(Microseconds drain, std::int64_t calls) -> void {
     interval = std::min(900 * one_millisecond, drain * 3 / 10);
     fallback = std::min(2 * one_second, drain * 2 / 3);
     spread = drain / 10;
@@ -20,12 +20,12 @@
 
 // Where one call of each node is too much for a second, so long that all nodes
 // together stay within half of the calls.
-auto ListPace::spread_over(std::size_t members) const -> Microseconds {
+auto ListPolling::spread_over(std::size_t members) const -> Microseconds {
     auto const calls = static_cast<Microseconds>(members * pages);
     return 2 * calls <= calls_each_second ? spread : std::max(spread, calls * 2 * one_second / calls_each_second);
 }
 
-auto ListPace::due(ListView const& view, Microseconds now, Random& random) -> bool {
+auto ListPolling::due(ListView const& view, Microseconds now, Random& random) -> bool {
     if (view.leader) {
         turn.reset();
         return now >= not_before && now - began_at >= interval;
@@ -39,18 +39,18 @@
     return now >= *turn && now >= not_before;
 }
 
-auto ListPace::began(Microseconds now) -> void {
+auto ListPolling::began(Microseconds now) -> void {
     began_at = now;
     turn.reset();
 }
 
-auto ListPace::good(std::size_t read_pages) -> void {
+auto ListPolling::good(std::size_t read_pages) -> void {
     pages = std::max<std::size_t>(1, read_pages);
     backoff = 0;
 }
 
 // Doubled each time, and never in step with other nodes.
-auto ListPace::failed(ListView const& view, Microseconds now, Random& random) -> void {
+auto ListPolling::failed(ListView const& view, Microseconds now, Random& random) -> void {
     auto const most = view.leader ? longest_backoff : std::max(longest_backoff, spread_over(view.members));
     backoff = std::min(most, backoff == 0 ? first_backoff : 2 * backoff);
     not_before = now + backoff / 2 + static_cast<Microseconds>(random.below(static_cast<std::uint64_t>(backoff / 2)));
--- a/source/control/list_pace.hpp
+++ b/source/control/list_pace.hpp
@@ -18,7 +18,7 @@
     std::size_t pages = 0;
 };
 
-struct ListPace {
+struct ListPolling {
     Microseconds interval = 900 * one_millisecond;
     Microseconds fallback = 2 * one_second;       // a list older than this is read by the node itself
     Microseconds spread = 300 * one_millisecond;  // over at most this time, where the calls allow
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -164,7 +164,7 @@
             node.control.partitions[part].apply =
                 part == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
         node.snapshot = empty_snapshot();
-        node.list_pace = ListPace();
+        node.list_pace = ListPolling();
         node.load = LoadSource();
         if (requests) node.load.start(shape.load, list, node.identity, random.next());
     }
--- a/tests/weights_duty_test.cpp
+++ b/tests/weights_duty_test.cpp
@@ -84,7 +84,7 @@
 
 TEST_CASE("a list that can't be read is asked for ever more rarely, and thirteen nodes stay within the calls") {
     auto random = Random{3};
-    std::vector<ListPace> paces(13);
+    std::vector<ListPolling> paces(13);
     for (auto& pace : paces) pace.bound(3 * one_second, 47);
     auto calls = std::vector<Microseconds>();
     auto view = ListView{false, false, 0, 13};
@@ -107,7 +107,7 @@
 
 TEST_CASE("a node without news of the list reads it itself within the drain bound, the leader every interval") {
     auto random = Random{5};
-    auto pace = ListPace();
+    auto pace = ListPolling();
     pace.bound(3 * one_second, 47);
     CHECK(pace.interval == 900 * one_millisecond);
     auto view = ListView{false, false, 10 * one_second, 13};
