--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -13,7 +13,7 @@
 constexpr auto mebibyte = Microseconds{1} << 20U;
 }  // namespace
 
-auto put_note(LinkNote const& note, std::string_view frame) -> std::string {
+auto put_note(LinkHeader const& note, std::string_view frame) -> std::string {
     std::string bytes;
     bytes.reserve(note_size + frame.size());
     for (auto const number : {note.life, note.number, note.heard_life, note.heard_number}) put_number(bytes, number);
@@ -21,11 +21,11 @@
     return bytes.append(frame);
 }
 
-auto take_note(std::string_view& bytes) -> std::optional<LinkNote> {
+auto take_note(std::string_view& bytes) -> std::optional<LinkHeader> {
     if (bytes.size() < note_size) return std::nullopt;
     auto head = bytes.substr(0, note_size);
     auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
-    auto note = LinkNote();
+    auto note = LinkHeader();
     for (auto* number : {&note.life, &note.number, &note.heard_life, &note.heard_number})
         *number = take_number(head).value_or(0);
     if (take_number(head) != checksum) return std::nullopt;
@@ -112,7 +112,7 @@
 
 // Of the lives between restarts in one cut the words may come in any order: a former life that goes on where the
 // present one is silent is the one that runs.
-auto PeerLink::heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void {
+auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.life_silence;
     if (note.life != heard_life && is_former(note.life) && !silent) return;
     take_life(note.life);
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -13,16 +13,16 @@
 
 // Goes before each frame: who sends in this life, the frame's number there, and
 // the last frame that was heard from its receiver.
-struct LinkNote {
+struct LinkHeader {
     std::uint64_t life = 0;
     std::uint64_t number = 0;
     std::uint64_t heard_life = 0;
     std::uint64_t heard_number = 0;
 };
 
-auto put_note(LinkNote const& note, std::string_view frame) -> std::string;
+auto put_note(LinkHeader const& note, std::string_view frame) -> std::string;
 // Takes it off again; nothing where its checksum does not fit.
-auto take_note(std::string_view& bytes) -> std::optional<LinkNote>;
+auto take_note(std::string_view& bytes) -> std::optional<LinkHeader>;
 
 struct LinkTimes {
     Microseconds patience = 400 * one_millisecond;         // at least, with a frame that is not known to have arrived
@@ -66,7 +66,7 @@
 
     // `stood`: the connection was established when the frame was sent.
     auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool stood = true) -> void;
-    auto heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void;
+    auto heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void;
     // A question to it was not answered in time.
     auto doubted(Microseconds now) -> void;
     auto dialled() -> void;
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -136,7 +136,7 @@
     return true;
 }
 
-auto Transport::mark_heard(std::string const& address, LinkNote const& note) -> void {
+auto Transport::mark_heard(std::string const& address, LinkHeader const& note) -> void {
     auto const guard = std::lock_guard(lock);
     links[address].heard(note, life, clock_now());
     auto const found = peers.find(address);
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -84,7 +84,7 @@
 
     auto read_frames(Heard const& heard) -> void;
     auto dial(std::string const& address, Peer& peer, Microseconds now) -> bool;
-    auto mark_heard(std::string const& address, LinkNote const& note) -> void;
+    auto mark_heard(std::string const& address, LinkHeader const& note) -> void;
     auto dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool;
     auto hear(std::string_view bytes, Heard const& heard) -> bool;
     auto let_go_unused(Microseconds now) -> void;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -13,7 +13,7 @@
 constexpr auto patience = LinkTimes().patience;
 
 auto note(std::uint64_t number, std::uint64_t heard, std::uint64_t life = their_life, std::uint64_t of = own_life)
-    -> LinkNote {
+    -> LinkHeader {
     return {life, number, of, heard};
 }
 
