--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -17,18 +17,18 @@
     return count;
 }
 
-auto Scheduler::retry_after(ModelBuffer const& buffer) const -> std::int64_t {
+auto Scheduler::retry_after(ModelQueue const& buffer) const -> std::int64_t {
     if (buffer.drain_rate <= 0.01) return buffer.waiting.empty() ? 1 : 5;
     auto const seconds = static_cast<double>(buffer.waiting.size()) / buffer.drain_rate;
     return std::clamp<std::int64_t>(static_cast<std::int64_t>(std::ceil(seconds)), 1, 30);
 }
 
-auto Scheduler::shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void {
+auto Scheduler::shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void {
     ++shed_counts[static_cast<std::size_t>(reason)];
     decisions.sheds.push_back({ticket, reason, retry_after(buffer)});
 }
 
-auto Scheduler::expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds {
+auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& ticket) const -> Microseconds {
     // Half the usual time: only the hopeless are given up (design 9.5).
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
 }
@@ -127,7 +127,7 @@
     return placement;
 }
 
-auto Scheduler::match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions)
+auto Scheduler::match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions)
     -> void {
     auto const& pool = burden.pool(model);
     auto const any_replica = std::any_of(
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -84,7 +84,7 @@
     Microseconds owes_since = 0;  // an extra try that the budget has still to pay
     std::optional<Filter> held_by;
 };
-struct ModelBuffer {
+struct ModelQueue {
     std::vector<Waiting> waiting;
     double drain_rate = 0.0;  // tickets each second, while any wait
     Microseconds drained_at = 0;
@@ -95,7 +95,7 @@
 struct Scheduler {
     SchedulingOptions options;
     ReplicaLoadTable burden;
-    std::map<std::string, ModelBuffer> buffers;
+    std::map<std::string, ModelQueue> buffers;
     std::size_t buffer_length = 256;
     TryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: no new entry is granted
@@ -135,11 +135,11 @@
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
     auto score(Waiting const& waiting, Microseconds now) const -> double;
-    auto retry_after(ModelBuffer const& buffer) const -> std::int64_t;
-    auto shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
+    auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
+    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
 
    private:
-    auto match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions) -> void;
+    auto match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
     auto candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(Waiting& waiting, Microseconds now) -> ReplicaState const*;
     auto least_requests(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
@@ -154,7 +154,7 @@
         const -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelBuffer const& buffer, InferenceRequest const& ticket) const -> Microseconds;
+    auto expected_service(ModelQueue const& buffer, InferenceRequest const& ticket) const -> Microseconds;
 };
 
 }  // namespace dockrock
