--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -116,10 +116,10 @@
     auto attempt = RelayTry{*this, request, *judged.route, course, answer, node};
     if (!co_await attempt.connect()) co_return attempt.result();
     attempt.close_when_client_leaves();
-    if (auto const look = node.last_look(course); look != LastLook::send) {
+    if (auto const look = node.last_look(course); look != SendCheck::send) {
         attempt.reason = "moved-on";
         auto result = attempt.result();
-        result.held_back = look == LastLook::moved_on && result.end == TryEnd::not_written;
+        result.held_back = look == SendCheck::moved_on && result.end == TryEnd::not_written;
         co_return result;
     }
     auto const now = clock_now();
--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -73,9 +73,9 @@
     boost::system::error_code ignored;
     stream.socket().set_option(tcp::no_delay(true), ignored);
     facts.written = BytesWritten::none;
-    if (auto const look = node.last_look(course); look != LastLook::send) {
+    if (auto const look = node.last_look(course); look != SendCheck::send) {
         auto result = ended(facts, "moved-on");
-        result.held_back = look == LastLook::moved_on;
+        result.held_back = look == SendCheck::moved_on;
         co_return result;
     }
     auto const posted = http_ask(http::verb::post, "/run", run_body(ticket, placement));
--- a/source/process/node_types.hpp
+++ b/source/process/node_types.hpp
@@ -44,7 +44,7 @@
 };
 
 // Whether a try may be written: not where what it rests on moved on, nor where it would break an invariant.
-enum class LastLook : int { send, moved_on, forbidden };
+enum class SendCheck : int { send, moved_on, forbidden };
 
 // Why a node did not start.
 struct StartFailure {
