--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -181,7 +181,7 @@
     std::uint64_t token = 0;
     std::vector<HeldPartition> partitions;
 };
-struct FormAnew {
+struct RecoverFleet {
     std::uint64_t term = 0;
     std::vector<std::string> voters;
     std::vector<HeldPartition> partitions;
@@ -223,7 +223,7 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
-    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, RecoverFleet, LoadTold, LoadShare,
     LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -36,7 +36,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::HeldPartition, term, voters, sequence, document);
 BOOST_HANA_ADAPT_STRUCT(dockrock::AnewAsk, token);
 BOOST_HANA_ADAPT_STRUCT(dockrock::AnewAnswer, token, partitions);
-BOOST_HANA_ADAPT_STRUCT(dockrock::FormAnew, term, voters, partitions);
+BOOST_HANA_ADAPT_STRUCT(dockrock::RecoverFleet, term, voters, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadTold, number, heard, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadShare, number, nodes, body, names, rates);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadSum, number, base, echo, echo_age, nodes, body);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -175,7 +175,7 @@
     auto on(Arrival const& arrival, ClaimAnswer const& answer) -> void;
     auto on(Arrival const& arrival, AnewAsk const& ask) -> void;
     auto on(Arrival const& arrival, AnewAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, FormAnew const& order) -> void;
+    auto on(Arrival const& arrival, RecoverFleet const& order) -> void;
     auto on(Arrival const& arrival, Decided const& decided) -> void;
     // All others are the partitions' own: between a group's leader, its followers and voters.
     template <typename GroupMessage>
@@ -234,7 +234,7 @@
     auto ask_feed(Microseconds now, ControlOutput& output) -> void;
     auto take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output) -> void;
     auto share_load(Microseconds now, ControlOutput& output) -> void;
-    auto on_form_anew(Microseconds now, FormAnew const& order, ControlOutput& output) -> void;
+    auto on_form_anew(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void;
 };
 
 }  // namespace dockrock
--- a/source/control/control_anew.cpp
+++ b/source/control/control_anew.cpp
@@ -93,7 +93,7 @@
     std::sort(cores.begin(), cores.end(), [](auto const& left, auto const& right) {
         return left.control_address < right.control_address;
     });
-    auto order = FormAnew{0, {}, anew->best};
+    auto order = RecoverFleet{0, {}, anew->best};
     for (auto const& partition : anew->best) order.term = std::max(order.term, partition.term + 1);
     for (auto const& core : cores) order.voters.push_back(core.identity);
     anew->term = order.term;
@@ -110,7 +110,7 @@
 }
 
 // Only a core node that had no say in the fleet that was: its disk knows nothing better.
-auto Control::on_form_anew(Microseconds now, FormAnew const& order, ControlOutput& output) -> void {
+auto Control::on_form_anew(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void {
     auto const named = std::any_of(partitions.begin(), partitions.end(), [&](auto const& partition) {
         auto const& record = partition.votes.decided;
         auto const& self = membership.self.identity;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -109,7 +109,7 @@
     if (anew->silent.erase(arrival.address) > 0) take_anew(answer.partitions);
 }
 
-auto Control::on(Arrival const& arrival, FormAnew const& order) -> void {
+auto Control::on(Arrival const& arrival, RecoverFleet const& order) -> void {
     on_form_anew(arrival.now, order, arrival.output);
 }
 
--- a/source/control/pending.hpp
+++ b/source/control/pending.hpp
@@ -37,7 +37,7 @@
     std::set<std::string> silent;  // addresses that have not answered yet
     std::vector<HeldPartition> best;
     std::uint64_t term = 0;  // once it is sent
-    FormAnew order;
+    RecoverFleet order;
     std::string at;  // the address that it went to
     Microseconds sent_at = 0;
 };
