--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -34,7 +34,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimFlight, partition, record, life, number, claims);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimFlown, partition, term, life, number);
 BOOST_HANA_ADAPT_STRUCT(dockrock::HeldPartition, term, voters, sequence, document);
-BOOST_HANA_ADAPT_STRUCT(dockrock::AnewAsk, token);
+BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryRequest, token);
 BOOST_HANA_ADAPT_STRUCT(dockrock::AnewAnswer, token, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoverFleet, term, voters, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadTold, number, heard, body);
--- a/source/control/control_anew.cpp
+++ b/source/control/control_anew.cpp
@@ -50,7 +50,7 @@
     for (auto const& member : membership.alive_members(false)) {
         if (member.identity == membership.self.identity) continue;
         fresh.silent.insert(member.control_address);
-        output.sends.push_back({member.control_address, AnewAsk{fresh.token}});
+        output.sends.push_back({member.control_address, RecoveryRequest{fresh.token}});
     }
     anew = std::move(fresh);
     return output;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -100,7 +100,7 @@
     take_claim_answer(answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, AnewAsk const& ask) -> void {
+auto Control::on(Arrival const& arrival, RecoveryRequest const& ask) -> void {
     arrival.output.sends.push_back({arrival.address, AnewAnswer{ask.token, held_parts()}});
 }
 
