--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -177,7 +177,7 @@
 struct RecoveryRequest {
     std::uint64_t token = 0;
 };
-struct AnewAnswer {
+struct RecoveryAnswer {
     std::uint64_t token = 0;
     std::vector<HeldPartition> partitions;
 };
@@ -223,7 +223,7 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
-    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, RecoveryRequest, AnewAnswer, RecoverFleet, LoadTold,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet, LoadTold,
     LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -35,7 +35,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimFlown, partition, term, life, number);
 BOOST_HANA_ADAPT_STRUCT(dockrock::HeldPartition, term, voters, sequence, document);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryRequest, token);
-BOOST_HANA_ADAPT_STRUCT(dockrock::AnewAnswer, token, partitions);
+BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryAnswer, token, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoverFleet, term, voters, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadTold, number, heard, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadShare, number, nodes, body, names, rates);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -174,7 +174,7 @@
     auto on(Arrival const& arrival, ClaimAsk const& ask) -> void;
     auto on(Arrival const& arrival, ClaimAnswer const& answer) -> void;
     auto on(Arrival const& arrival, RecoveryRequest const& ask) -> void;
-    auto on(Arrival const& arrival, AnewAnswer const& answer) -> void;
+    auto on(Arrival const& arrival, RecoveryAnswer const& answer) -> void;
     auto on(Arrival const& arrival, RecoverFleet const& order) -> void;
     auto on(Arrival const& arrival, Decided const& decided) -> void;
     // All others are the partitions' own: between a group's leader, its followers and voters.
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -101,10 +101,10 @@
 }
 
 auto Control::on(Arrival const& arrival, RecoveryRequest const& ask) -> void {
-    arrival.output.sends.push_back({arrival.address, AnewAnswer{ask.token, held_parts()}});
+    arrival.output.sends.push_back({arrival.address, RecoveryAnswer{ask.token, held_parts()}});
 }
 
-auto Control::on(Arrival const& arrival, AnewAnswer const& answer) -> void {
+auto Control::on(Arrival const& arrival, RecoveryAnswer const& answer) -> void {
     if (!anew || anew->token != answer.token) return;
     if (anew->silent.erase(arrival.address) > 0) take_anew(answer.partitions);
 }
