--- a/source/control/control_anew.cpp
+++ b/source/control/control_anew.cpp
@@ -35,7 +35,7 @@
 auto Control::form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
     auto const busy = anew.has_value();
-    auto fresh = PendingAnew{random.next() | 1U, local_token, now, {}, held_parts(), 0};
+    auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_parts(), 0};
     auto const refused = [&](std::string_view what) {
         auto const body = json::serialize(fields("error", std::string(what) + "; nothing was done"));
         output.results.push_back({"", local_token, 409, body, ""});
--- a/source/control/pending.hpp
+++ b/source/control/pending.hpp
@@ -30,7 +30,7 @@
 };
 
 // Forming anew from what the core nodes that are left hold (design 5.9).
-struct PendingAnew {
+struct PendingRecovery {
     std::uint64_t token = 0;
     std::uint64_t local_token = 0;
     Microseconds since = 0;
