--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -38,7 +38,7 @@
         control.best_record(partition).term == fence;
 }
 
-auto WeightsDuty::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions {
+auto WeightsController::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions {
     DutyActions actions;
     for (auto const& [model, versions] : snapshot.named) named[model].merge(versions);
     for (auto const& [model, version] : snapshot.target_versions) named[model].take(version, now);
@@ -47,7 +47,7 @@
     return actions;
 }
 
-auto WeightsDuty::step_partition(
+auto WeightsController::step_partition(
     int partition, Control const& control, Snapshot const& snapshot, Microseconds now, DutyActions& actions) -> void {
     auto const& record = control.best_record(partition);
     auto const leader = record.term > 0 && record.leader == control.membership.self.identity;
@@ -109,14 +109,14 @@
         actions.words.emplace_back(partition, std::move(text));
 }
 
-auto WeightsDuty::note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void {
+auto WeightsController::note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void {
     auto& known = held[static_cast<std::size_t>(partition)];
     if (known == reason) return;
     known = reason;
     actions.held.emplace_back(partition, reason);
 }
 
-auto WeightsDuty::figures(Microseconds now) const -> RolloutFigures {
+auto WeightsController::figures(Microseconds now) const -> RolloutFigures {
     RolloutFigures sum;
     for (auto const& [place, rollout] : rollouts) {
         auto const figures = rollout.figures(now);
@@ -127,12 +127,12 @@
     return sum;
 }
 
-auto WeightsDuty::order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void {
+auto WeightsController::order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void {
     auto const found = rollouts.find({order.partition, order.model});
     if (found != rollouts.end()) found->second.order_ended(order.order.replica, end, now);
 }
 
-auto WeightsDuty::reported(
+auto WeightsController::reported(
     DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
     -> void {
     auto const found = rollouts.find({asked.partition, asked.model});
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -34,7 +34,7 @@
     bool under_way = false;
 };
 
-struct WeightsDuty {
+struct WeightsController {
     Microseconds bound = 0;                       // named weights serve everywhere; none: no bound
     std::size_t at_once = 3;                      // replicas of one service
     Microseconds wait = 3'200 * one_millisecond;  // of a new holder
--- a/tests/duty_helpers.hpp
+++ b/tests/duty_helpers.hpp
@@ -30,7 +30,7 @@
 
 struct Duties {
     World& world;
-    std::map<std::size_t, WeightsDuty> duties;
+    std::map<std::size_t, WeightsController> duties;
     struct Sent {
         Microseconds at = 0;
         std::size_t node = 0;
