--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -38,8 +38,8 @@
         control.best_record(partition).term == fence;
 }
 
-auto WeightsController::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions {
-    DutyActions actions;
+auto WeightsController::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions {
+    ControllerActions actions;
     for (auto const& [model, versions] : snapshot.named) named[model].merge(versions);
     for (auto const& [model, version] : snapshot.target_versions) named[model].take(version, now);
     for (auto partition = 1; partition <= service_partitions; ++partition)
@@ -48,7 +48,8 @@
 }
 
 auto WeightsController::step_partition(
-    int partition, Control const& control, Snapshot const& snapshot, Microseconds now, DutyActions& actions) -> void {
+    int partition, Control const& control, Snapshot const& snapshot, Microseconds now, ControllerActions& actions)
+    -> void {
     auto const& record = control.best_record(partition);
     auto const leader = record.term > 0 && record.leader == control.membership.self.identity;
     auto const leased = control.leads(partition, now);
@@ -109,7 +110,7 @@
         actions.words.emplace_back(partition, std::move(text));
 }
 
-auto WeightsController::note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void {
+auto WeightsController::note_held(int partition, OrdersHeld reason, ControllerActions& actions) -> void {
     auto& known = held[static_cast<std::size_t>(partition)];
     if (known == reason) return;
     known = reason;
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -25,7 +25,7 @@
 inline constexpr auto orders_held_names =
     std::to_array<std::string_view>({"no", "no-lease", "new-holder", "no-fresh-news"});
 
-struct DutyActions {
+struct ControllerActions {
     std::vector<DutyOrder> orders;
     std::vector<DutyReport> reports;
     std::vector<std::pair<int, std::string>> words;          // partition, and the text to be spread for it
@@ -43,7 +43,7 @@
 
     std::map<std::string, VersionTimes> named;  // by model, by the clock of this life, as leader or not
 
-    auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions;
+    auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions;
     auto order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void;
     auto reported(
         DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
@@ -55,9 +55,9 @@
 
    private:
     auto step_partition(
-        int partition, Control const& control, Snapshot const& snapshot, Microseconds now, DutyActions& actions)
+        int partition, Control const& control, Snapshot const& snapshot, Microseconds now, ControllerActions& actions)
         -> void;
-    auto note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void;
+    auto note_held(int partition, OrdersHeld reason, ControllerActions& actions) -> void;
 };
 
 // One replica takes orders of one holder: that of the partition which its first model lies in.
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -33,7 +33,7 @@
     return {due.model, due.order.version, holder, due.fence, due.order.orders, due.order.replica};
 }
 
-auto tell_notes(DutyActions const& due) -> void {
+auto tell_notes(ControllerActions const& due) -> void {
     for (auto const& [partition, reason] : due.held)
         write_log(
             Level::information, "weights-orders-held",
