--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -128,7 +128,7 @@
     return sum;
 }
 
-auto WeightsController::order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void {
+auto WeightsController::order_ended(AddressedOrder const& order, OrderEnd end, Microseconds now) -> void {
     auto const found = rollouts.find({order.partition, order.model});
     if (found != rollouts.end()) found->second.order_ended(order.order.replica, end, now);
 }
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct DutyOrder {
+struct AddressedOrder {
     VersionOrder order;
     std::string address;
     std::string model;
@@ -26,7 +26,7 @@
     std::to_array<std::string_view>({"no", "no-lease", "new-holder", "no-fresh-news"});
 
 struct ControllerActions {
-    std::vector<DutyOrder> orders;
+    std::vector<AddressedOrder> orders;
     std::vector<DutyReport> reports;
     std::vector<std::pair<int, std::string>> words;          // partition, and the text to be spread for it
     std::vector<std::pair<std::string, RolloutNote>> notes;  // by model
@@ -44,7 +44,7 @@
     std::map<std::string, VersionTimes> named;  // by model, by the clock of this life, as leader or not
 
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions;
-    auto order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void;
+    auto order_ended(AddressedOrder const& order, OrderEnd end, Microseconds now) -> void;
     auto reported(
         DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
         -> void;
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-auto written(DutyOrder const& due, std::string const& holder) -> WeightsOrder {
+auto written(AddressedOrder const& due, std::string const& holder) -> WeightsOrder {
     return {due.model, due.order.version, holder, due.fence, due.order.orders, due.order.replica};
 }
 
@@ -99,7 +99,7 @@
     co_return std::nullopt;
 }
 
-auto Node::send_duty_order(DutyOrder order) -> awaitable<void> {
+auto Node::send_duty_order(AddressedOrder order) -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto end = OrderEnd::unreachable;
     auto status = 0;
