--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -134,7 +134,7 @@
 }
 
 auto WeightsController::reported(
-    DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
+    ReportRequest const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
     -> void {
     auto const found = rollouts.find({asked.partition, asked.model});
     if (found != rollouts.end()) found->second.reported(asked.replica, report, asked_at, now);
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -14,7 +14,7 @@
     std::uint64_t fence = 0;
     int partition = 0;
 };
-struct DutyReport {
+struct ReportRequest {
     std::string replica;
     std::string address;
     std::string model;
@@ -27,7 +27,7 @@
 
 struct ControllerActions {
     std::vector<AddressedOrder> orders;
-    std::vector<DutyReport> reports;
+    std::vector<ReportRequest> reports;
     std::vector<std::pair<int, std::string>> words;          // partition, and the text to be spread for it
     std::vector<std::pair<std::string, RolloutNote>> notes;  // by model
     std::vector<std::pair<int, OrdersHeld>> held;            // by partition, where it changed
@@ -46,8 +46,8 @@
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions;
     auto order_ended(AddressedOrder const& order, OrderEnd end, Microseconds now) -> void;
     auto reported(
-        DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
-        -> void;
+        ReportRequest const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at,
+        Microseconds now) -> void;
 
     std::array<OrdersHeld, partition_count> held{};
 
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -131,7 +131,7 @@
     });
 }
 
-auto Node::ask_duty_report(DutyReport asked) -> awaitable<void> {
+auto Node::ask_duty_report(ReportRequest asked) -> awaitable<void> {
     auto ask = form->report_call();
     if (!form->headers.replica_wanted.empty()) ask.headers.emplace_back(form->headers.replica_wanted, asked.replica);
     auto const asked_at = clock_now();
