--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -223,8 +223,8 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
-    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet, LoadTold,
-    LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet,
+    LoadReport, LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
     {"probe",         "probe-answer", "probe-for",     "prepare",      "promise",     "accept",       "accepted",
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -37,7 +37,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryRequest, token);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryAnswer, token, partitions);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoverFleet, term, voters, partitions);
-BOOST_HANA_ADAPT_STRUCT(dockrock::LoadTold, number, heard, body);
+BOOST_HANA_ADAPT_STRUCT(dockrock::LoadReport, number, heard, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadShare, number, nodes, body, names, rates);
 BOOST_HANA_ADAPT_STRUCT(dockrock::LoadSum, number, base, echo, echo_age, nodes, body);
 BOOST_HANA_ADAPT_STRUCT(dockrock::CacheBatch, source, store, life, from, next, anew, weights, changes);
--- a/source/base/relay_messages.hpp
+++ b/source/base/relay_messages.hpp
@@ -7,7 +7,7 @@
 namespace dockrock {
 
 // load through relays (design 9.8); the bodies are texts of ticket/load
-struct LoadTold {  // a node to its relay
+struct LoadReport {  // a node to its relay
     std::uint64_t number = 0;
     std::uint64_t heard = 0;  // the sum that it holds of this relay; 0: none
     std::string body;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -163,7 +163,7 @@
     auto on(Arrival const& arrival, UpdateRequest const& ask) -> void;
     auto on(Arrival const& arrival, UpdateAnswer const& answer) -> void;
     auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
-    auto on(Arrival const& arrival, LoadTold const& told) -> void;
+    auto on(Arrival const& arrival, LoadReport const& told) -> void;
     auto on(Arrival const& arrival, LoadShare const& share) -> void;
     auto on(Arrival const& arrival, LoadSum const& sum) -> void;
     auto on(Arrival const& arrival, FeedAsk const& ask) -> void;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -54,7 +54,7 @@
     arrival.output.digests.emplace_back(arrival.from, digest);
 }
 
-auto Control::on(Arrival const& arrival, LoadTold const& told) -> void {
+auto Control::on(Arrival const& arrival, LoadReport const& told) -> void {
     if (!settings.core) return;
     auto sum = load_relay.take(arrival.from, told, arrival.now);
     if (sum) arrival.output.sends.push_back({arrival.address, std::move(*sum)});
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -28,7 +28,7 @@
     auto const cores = membership.alive_members(true);
     auto const* relay = load_choice.choose(membership.self, cores, now);
     if (relay == nullptr) return output;
-    auto told = LoadTold{number, held_of == relay->identity ? held : 0, std::move(body)};
+    auto told = LoadReport{number, held_of == relay->identity ? held : 0, std::move(body)};
     if (relay->identity != membership.self.identity) {
         output.sends.push_back({relay->control_address, std::move(told)});
     } else if (auto sum = load_relay.take(relay->identity, told, now)) {
--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -80,7 +80,7 @@
     if (sums.size() > sums_kept) sums.pop_front();
 }
 
-auto LoadRelay::take(std::string const& node, LoadTold const& told, Microseconds now) -> std::optional<LoadSum> {
+auto LoadRelay::take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum> {
     if (deaf(now)) return std::nullopt;
     auto loads = read_loads(told.body);
     auto& child = children[node];
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -54,7 +54,7 @@
     Microseconds ticked_at = 0;
     Microseconds deaf_until = 0;
 
-    auto take(std::string const& node, LoadTold const& told, Microseconds now) -> std::optional<LoadSum>;
+    auto take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum>;
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
     // What other relays are to be told now; nothing where nobody tells anything here.
     auto tick(Microseconds now) -> std::optional<LoadShare>;
--- a/tests/load_net.hpp
+++ b/tests/load_net.hpp
@@ -69,7 +69,7 @@
         auto const* chosen = node.choice.choose(node.self, cores, now);
         if (chosen == nullptr) return;
         auto const& held = node.table.summed;
-        auto const told = LoadTold{number, held.relay == chosen->identity ? held.number : 0, std::move(body)};
+        auto const told = LoadReport{number, held.relay == chosen->identity ? held.number : 0, std::move(body)};
         auto const target = static_cast<std::size_t>(chosen - cores.data());
         send([this, index, target, told] {
             at_relay(target, [this, index, told](Relay& relay) {
