--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -127,7 +127,7 @@
 };
 
 // A relay's word, read: a whole sum or what makes one of the sum held.
-struct SumTold {
+struct LoadSumUpdate {
     std::uint64_t number = 0;
     std::uint64_t base = 0;
     std::uint64_t echo = 0;
@@ -186,7 +186,7 @@
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
     auto make_digest(Microseconds now) -> std::string;
     auto make_told(std::uint64_t number, Microseconds now) -> std::string;
-    auto take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void;
+    auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
     // `unread`: tokens of the prompt that the replica has to read itself.
     auto place(
         std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now,
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -24,7 +24,7 @@
 }
 
 // The sum of all, less this node's own word that is in it.
-auto ReplicaLoadTable::take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void {
+auto ReplicaLoadTable::take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void {
     auto const same = relay == summed.relay;
     if (same && told.number < summed.number && now - summed.at <= options.digest_old) return;  // a late one
     if (told.base != 0 && (!same || told.base != summed.number)) return;                       // of no sum held
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -101,7 +101,7 @@
     auto summed = make_by_work(2);
     summed.burden.relayed = true;
     auto const told = teller.burden.make_told(5, 20);
-    summed.burden.take_sum("relay", SumTold{1, 0, 0, 0, 1, told}, 30);
+    summed.burden.take_sum("relay", LoadSumUpdate{1, 0, 0, 0, 1, told}, 30);
     CHECK(summed.burden.unread(summed.burden.replicas.at("r0"), 40) == 6'400);
 }
 
