--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -20,7 +20,7 @@
 auto group_domain(std::string_view path) -> std::string { return "group:" + std::string(path); }
 
 struct Inherited {
-    Wall wall = Wall::shared;
+    Isolation wall = Isolation::shared;
     std::string wall_domain = std::string(whole_fleet);
     int rank = 0;
     int share = 1;
@@ -55,13 +55,13 @@
             auto const found = std::find(wall_names.begin(), wall_names.end(), *branch.wall);
             if (found == wall_names.end()) {
                 problem(path + "/wall", "must be shared, group or isolated");
-            } else if (auto const wall = static_cast<Wall>(found - wall_names.begin()); wall < from.wall) {
+            } else if (auto const wall = static_cast<Isolation>(found - wall_names.begin()); wall < from.wall) {
                 problem(
                     path + "/wall",
                     "walls only tighten downward: a branch above sets " +
                         std::string(wall_names[static_cast<std::size_t>(from.wall)]));
             } else {
-                if (wall == Wall::group) from.wall_domain = group_domain(tree_path);
+                if (wall == Isolation::group) from.wall_domain = group_domain(tree_path);
                 from.wall = wall;
             }
         }
@@ -119,7 +119,7 @@
             auto const mine = inherit(tenant, here, place, tenant_path);
             if (!tenant_names.insert(tenant.name).second) problem(place + "/name", "another tenant has this name");
             if (result.tenants.size() >= most_tenants) return problem(place, "more than 4096 tenants");
-            auto const domain = mine.wall == Wall::isolated ? isolated_scope(tenant_path) : mine.wall_domain;
+            auto const domain = mine.wall == Isolation::isolated ? isolated_scope(tenant_path) : mine.wall_domain;
             result.tenants.push_back(
                 {tenant_path, tenant.name, mine.wall, domain, domain, mine.rank, mine.share, mine.keys, mine.keys_from,
                  mine.models});
--- a/source/sequence/configuration.hpp
+++ b/source/sequence/configuration.hpp
@@ -54,13 +54,13 @@
     GroupBranch root;
 };
 
-enum class Wall : int { shared, group, isolated };
+enum class Isolation : int { shared, group, isolated };
 
 // A tenant with all it inherits.
 struct Tenant {
     std::string path;
     std::string name;
-    Wall wall = Wall::shared;
+    Isolation wall = Isolation::shared;
     std::string wall_domain;    // prefix memory is shared only within one domain
     std::string sharing_scope;  // the domain, and who is walled off from it (sequence/sharing_scope.hpp)
     int rank = 0;
