--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -201,7 +201,7 @@
     std::uint64_t term = 0;
     int state = 0;
 };
-struct ClaimFlight {
+struct ClaimReplication {
     int partition = 0;
     Record record;
     std::uint64_t life = 0;  // of the leader
@@ -223,7 +223,7 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
-    LoadDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimReplication, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet,
     LoadReport, LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -106,10 +106,10 @@
     for (auto const& follower : votes.decided.followers)
         if (!claims.landed.contains(follower))
             context.sends.push_back(
-                {follower, ClaimFlight{index, votes.decided, claims.life, claims.flight_number, claims.flight}});
+                {follower, ClaimReplication{index, votes.decided, claims.life, claims.flight_number, claims.flight}});
 }
 
-auto Partition::on(Context& context, std::string const& from, ClaimFlight const& message) -> void {
+auto Partition::on(Context& context, std::string const& from, ClaimReplication const& message) -> void {
     learn(context, message.record);
     if (votes.decided != message.record || from != votes.decided.leader || !healthy) return;
     if (!votes.decided.has_follower(context.self) || votes.sealed >= votes.decided.term) return;
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -127,7 +127,7 @@
 auto World::send(Node const& from, IdentifiedMessage&& item) -> void {
     auto const target = index_of(item.identity);
     if (!target || !reaches(from, *nodes[*target])) return;
-    if (std::holds_alternative<ClaimFlight>(item.message)) return;  // claims are not modelled: all are lost
+    if (std::holds_alternative<ClaimReplication>(item.message)) return;  // claims are not modelled: all are lost
     auto message = std::make_shared<Message const>(std::move(item.message));
     auto digest = hash_of(*message);
     mix_all(digest, from.identity, item.identity);
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -75,7 +75,7 @@
         if (auto const* offer = std::get_if<CopyOffer>(&send.message)) copy_bytes += offer->copy.document.size();
         if (options.planted_claims_not_copied) {
             if (auto* offer = std::get_if<CopyOffer>(&send.message)) offer->claims.clear();
-            if (auto* flight = std::get_if<ClaimFlight>(&send.message)) flight->claims.clear();
+            if (auto* flight = std::get_if<ClaimReplication>(&send.message)) flight->claims.clear();
         }
         if (options.planted_outcomes_lost) {
             if (auto* offer = std::get_if<CopyOffer>(&send.message)) offer->copy.outcomes.clear();
