--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -208,7 +208,7 @@
     std::uint64_t number = 0;
     std::string claims;
 };
-struct ClaimFlown {
+struct ClaimReplicated {
     int partition = 0;
     std::uint64_t term = 0;
     std::uint64_t life = 0;
@@ -223,7 +223,7 @@
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
-    LoadDigest, ClaimAsk, ClaimAnswer, ClaimReplication, ClaimFlown, RecoveryRequest, RecoveryAnswer, RecoverFleet,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimReplication, ClaimReplicated, RecoveryRequest, RecoveryAnswer, RecoverFleet,
     LoadReport, LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -32,7 +32,7 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimAsk, partition, token, key, ticket, release);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimAnswer, partition, token, term, state);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimReplication, partition, record, life, number, claims);
-BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimFlown, partition, term, life, number);
+BOOST_HANA_ADAPT_STRUCT(dockrock::ClaimReplicated, partition, term, life, number);
 BOOST_HANA_ADAPT_STRUCT(dockrock::HeldPartition, term, voters, sequence, document);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryRequest, token);
 BOOST_HANA_ADAPT_STRUCT(dockrock::RecoveryAnswer, token, partitions);
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -116,13 +116,14 @@
     leader_heard = context.now;
     auto const place = std::pair(message.life, message.number);
     if (place < claims.newest_flight) return;
-    auto const reply = IdentifiedMessage{from, ClaimFlown{index, votes.decided.term, message.life, message.number}};
+    auto const reply =
+        IdentifiedMessage{from, ClaimReplicated{index, votes.decided.term, message.life, message.number}};
     claims.newest_flight = place;
     claims.take(read_claims(message.claims), context.now, true);
     save_claims(context, message.claims, {reply});
 }
 
-auto Partition::on(Context& context, std::string const& from, ClaimFlown const& message) -> void {
+auto Partition::on(Context& context, std::string const& from, ClaimReplicated const& message) -> void {
     if (!is_leader(context.self) || message.term != votes.decided.term) return;
     if (!votes.decided.has_follower(from)) return;
     if (!claims.flying || message.life != claims.life || message.number != claims.flight_number) return;
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -176,7 +176,7 @@
     auto on(Context&, std::string const& from, SpareOffer const&) -> void;
     auto on(Context&, std::string const& from, SpareChange const&) -> void;
     auto on(Context&, std::string const& from, ClaimReplication const&) -> void;
-    auto on(Context&, std::string const& from, ClaimFlown const&) -> void;
+    auto on(Context&, std::string const& from, ClaimReplicated const&) -> void;
     auto claim(Context& context, std::string const& origin, ClaimAsk const& ask) -> void;
     auto learn(Context& context, Record const& record) -> void;
 
