--- a/source/process/measures.cpp
+++ b/source/process/measures.cpp
@@ -35,7 +35,7 @@
     text += whole + "_count" + braces + " " + std::to_string(total) + "\n";
 }
 
-auto Measures::Labelled::of(InferenceRequest const& ticket) -> Histogram& {
+auto LatencyMetrics::Labelled::of(InferenceRequest const& ticket) -> Histogram& {
     auto const guard = std::lock_guard(lock);
     auto const full = by_label.size() >= most_labels;
     auto const label = full ? std::pair(std::string("other"), 0) : std::pair(ticket.body.kind, ticket.rank);
@@ -44,14 +44,14 @@
     return *found;
 }
 
-auto Measures::Labelled::write(std::string& text, std::string const& name) -> void {
+auto LatencyMetrics::Labelled::write(std::string& text, std::string const& name) -> void {
     auto const guard = std::lock_guard(lock);
     if (!by_label.empty()) text += "# TYPE dockrock_" + name + " histogram\n";
     for (auto const& [label, histogram] : by_label)
         histogram->write(text, name, "kind=\"" + label.first + "\",rank=\"" + std::to_string(label.second) + "\"");
 }
 
-auto Measures::write(std::string& text) -> void {
+auto LatencyMetrics::write(std::string& text) -> void {
     for (auto const& [name, histogram] :
          {std::pair("claim_seconds", &claim), std::pair("sync_seconds", &sync),
           std::pair("change_seconds", &in_force)}) {
--- a/source/process/measures.hpp
+++ b/source/process/measures.hpp
@@ -22,7 +22,7 @@
     auto write(std::string& text, std::string const& name, std::string const& labels) const -> void;
 };
 
-struct Measures {
+struct LatencyMetrics {
     Histogram claim;     // from asking for a claim to its answer
     Histogram sync;      // one write and sync of the disk
     Histogram in_force;  // from asking to an acknowledged change, at the node that was asked
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -51,7 +51,7 @@
     LossesBorne losses_bearable;  // looked at inside control_work
     SnapshotHolder snapshot;
     Counters counters;
-    Measures measures;
+    LatencyMetrics measures;
     UpdateMetrics sight;
     EntryTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
     std::atomic<std::uint64_t> next_ticket{1};
