--- a/source/control/tenure.hpp
+++ b/source/control/tenure.hpp
@@ -5,7 +5,7 @@
 
 namespace dockrock {
 
-struct Tenure {
+struct TakeoverWait {
     bool held = false;
     std::uint64_t term = 0;
     Microseconds since = 0;  // first leased, in this life, with no other holder in between
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -52,10 +52,10 @@
 
 TEST_CASE("a holder waits unless it is the first of all, or held the part all the time") {
     constexpr auto wait = 3'200 * one_millisecond;
-    auto first = Tenure();
+    auto first = TakeoverWait();
     CHECK(first.step(1, true, true, wait, 10 * one_second));
 
-    auto next = Tenure();
+    auto next = TakeoverWait();
     CHECK_FALSE(next.step(1, false, false, wait, 10 * one_second));
     CHECK_FALSE(next.step(2, true, false, wait, 11 * one_second));
     CHECK_FALSE(next.step(2, true, true, wait, 12 * one_second));  // from here
