--- a/source/connection/losses.cpp
+++ b/source/connection/losses.cpp
@@ -60,7 +60,7 @@
     return borne;
 }
 
-auto LossesBorne::look(Control const& control, Microseconds now) -> void {
+auto LossTolerance::look(Control const& control, Microseconds now) -> void {
     if (since != 0 && now - looked_at < look_interval) return;
     looked_at = now;
     auto const borne = losses_borne(control, now);
--- a/source/connection/losses.hpp
+++ b/source/connection/losses.hpp
@@ -13,7 +13,7 @@
 auto losses_borne(Control const& control, Microseconds now) -> std::size_t;
 
 // That number as it was last looked at, and since when it has been so; read by any thread.
-struct LossesBorne {
+struct LossTolerance {
     std::atomic<std::size_t> count{0};
     std::atomic<Microseconds> since{0};
     Microseconds looked_at = 0;
