--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -53,7 +53,7 @@
     Counters counters;
     LatencyMetrics measures;
     UpdateMetrics sight;
-    EntryTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
+    AdmissionTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
     std::atomic<std::uint64_t> next_ticket{1};
     asio::signal_set stop_signals{context};
     asio::signal_set reload_signals{context};
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/entry_table.hpp
@@ -14,7 +14,7 @@
 };
 
 template <typename Primitives>
-struct EntryTable {
+struct AdmissionTable {
     using Wake = std::function<void()>;
     using Guard = std::lock_guard<typename Primitives::Mutex>;
     struct Entry {
--- a/tests/interleaving_test.cpp
+++ b/tests/interleaving_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using Table = EntryTable<CheckedPrimitives>;
+using Table = AdmissionTable<CheckedPrimitives>;
 
 struct Scene {
     Table table;
