--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -68,7 +68,7 @@
 
 // Extra tries: a fifth of a try for each ticket. The store is one for each node,
 // so that a fleet of about ten has a slack of about ten (design 10.4).
-struct TryBudget {
+struct RetryBudget {
     double stored = 1.0;
     double most = 1.0;
     double each_ticket = 0.2;
@@ -97,7 +97,7 @@
     ReplicaLoadTable burden;
     std::map<std::string, ModelQueue> buffers;
     std::size_t buffer_length = 256;
-    TryBudget budget;
+    RetryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: no new entry is granted
     Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: tickets are shed at once
     std::string store_address;
