--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -13,8 +13,8 @@
     return sum;
 }
 
-auto ReplicaLoadTable::outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes {
-    auto sum = Outcomes{};
+auto ReplicaLoadTable::outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes {
+    auto sum = TryOutcomes{};
     for (auto const& outcome : state.outcomes) {
         if (now - outcome.at > outcome_window) continue;
         ++sum.ended;
--- a/source/scheduling/replica_health.hpp
+++ b/source/scheduling/replica_health.hpp
@@ -9,7 +9,7 @@
 namespace dockrock {
 
 // How tries at one replica ended within the last `outcome_window`, at all nodes.
-struct Outcomes {
+struct TryOutcomes {
     std::int64_t ended = 0;   // answered or failed
     std::int64_t failed = 0;  // of these; a refusal before the run is no failure
 };
@@ -28,7 +28,7 @@
 
     auto usable(Microseconds now) const -> bool { return now >= left_out_until; }
     // True where the replica is left out from now on.
-    auto judge(Outcomes const& seen, Microseconds now) -> bool {
+    auto judge(TryOutcomes const& seen, Microseconds now) -> bool {
         if (!usable(now)) return false;
         auto const failing = seen.failed >= least_failed && seen.failed * failed_share >= seen.ended;
         if (failing) {
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -199,7 +199,7 @@
     auto running(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes;
+    auto outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t;
     auto check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter;
