--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -51,7 +51,7 @@
 }
 
 // Parts made under weights that are not known, and so may be any, are shared with no other request.
-auto salt_for(Course const& course, std::string_view identity) -> std::string {
+auto salt_for(RequestLifecycle const& course, std::string_view identity) -> std::string {
     auto const& wall = course.ticket.wall_domain;
     if (!course.placement.weights.empty()) return salt_of(wall, course.placement.weights);
     if (course.ticket.body.prefix.empty()) return {};
@@ -77,7 +77,7 @@
 auto keeps_connection(HttpRequest const& request) -> bool { return request.keep_alive(); }
 
 auto head_for_replica(
-    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
+    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& course,
     std::int64_t last_event, Microseconds time_left) -> std::string {
     auto const& names = form.headers;
     auto const own = std::to_array<std::string_view>(
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -89,7 +89,7 @@
     co_return co_await run(request, std::move(judgement));
 }
 
-auto RelaySession::wait_for_place(Course& course) -> awaitable<LifecycleStep> {
+auto RelaySession::wait_for_place(RequestLifecycle& course) -> awaitable<LifecycleStep> {
     auto const number = course.ticket.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
@@ -117,7 +117,7 @@
 auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
     auto const rules = judgement.verdict.rules;  // keeps the route
     auto const& route = *judgement.verdict.route;
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket = judgement.verdict.verdict.ticket;
     course.ticket.number = node.next_ticket++;
     course.rules = judgement.rules;
@@ -136,7 +136,8 @@
 }
 
 // The course of one request: the same one that the product's own tickets take.
-auto RelaySession::follow(HttpRequest const& request, RelayJudgement judgement, Course& course, RelayAnswer& answer)
+auto RelaySession::follow(
+    HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& course, RelayAnswer& answer)
     -> awaitable<bool> {
     auto judged = std::move(judgement.verdict);
     auto const last = field_of(request, node.form->headers.last_event);
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -111,7 +111,8 @@
     give_back();
 }
 
-auto RelaySession::send_try(HttpRequest const& request, RelayVerdict const& judged, Course& course, RelayAnswer& answer)
+auto RelaySession::send_try(
+    HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle& course, RelayAnswer& answer)
     -> awaitable<TryResult> {
     auto attempt = RelayTry{*this, request, *judged.route, course, answer, node};
     if (!co_await attempt.connect()) co_return attempt.result();
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -12,7 +12,7 @@
     RelaySession& session;
     HttpRequest const& request;
     Route const& route;
-    Course& course;
+    RequestLifecycle& course;
     RelayAnswer& answer;
     Node& node;
     ReplicaConnectionPointer connection = {};
--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -12,7 +12,8 @@
     last_at = now;
 }
 
-auto log_request(Course const& course, Route const& route, RequestTrace const& trace, Microseconds now) -> void {
+auto log_request(RequestLifecycle const& course, Route const& route, RequestTrace const& trace, Microseconds now)
+    -> void {
     if (!log_writes(Level::debug)) return;
     auto const& ticket = course.ticket;
     auto const& placement = course.placement;
--- a/source/connection/request_trace.hpp
+++ b/source/connection/request_trace.hpp
@@ -22,6 +22,7 @@
 };
 
 // At level debug; costs nothing above it.
-auto log_request(Course const& course, Route const& route, RequestTrace const& trace, Microseconds now) -> void;
+auto log_request(RequestLifecycle const& course, Route const& route, RequestTrace const& trace, Microseconds now)
+    -> void;
 
 }  // namespace dockrock
--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-auto run_try(Session& session, Course const& course, bool keep_alive) -> awaitable<TryResult> {
+auto run_try(Session& session, RequestLifecycle const& course, bool keep_alive) -> awaitable<TryResult> {
     auto& node = session.node;
     auto const& ticket = course.ticket;
     auto const& placement = course.placement;
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -31,7 +31,7 @@
 }
 
 // Into the buffer, and out of it with a placement or a shedding.
-auto Session::enter_buffer(Course& course) -> awaitable<LifecycleStep> {
+auto Session::enter_buffer(RequestLifecycle& course) -> awaitable<LifecycleStep> {
     auto const number = course.ticket.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
@@ -56,7 +56,7 @@
     co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
 }
 
-auto Session::claim(Course& course) -> awaitable<LifecycleStep> {
+auto Session::claim(RequestLifecycle& course) -> awaitable<LifecycleStep> {
     auto const executor = co_await asio::this_coro::executor;
     auto const asked_at = clock_now();
     auto const done = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(ClaimDone)>(
@@ -75,7 +75,7 @@
     co_return course.claimed(done.state, done.term, asked_at, node.facts_for(course.placement.replica));
 }
 
-auto Session::send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<LifecycleStep> {
+auto Session::send_try(HttpRequest const& request, RequestLifecycle& course, bool& usable) -> awaitable<LifecycleStep> {
     ++node.counters.tries;
     auto const sent_at = clock_now();
     auto const replica = course.placement.replica;
@@ -94,7 +94,7 @@
 }
 
 auto Session::run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket = std::move(verdict.ticket);
     course.ticket.number = node.next_ticket++;
     course.rules = sequence;
@@ -109,7 +109,7 @@
     }
 }
 
-auto Session::follow(HttpRequest const& request, Course& course) -> awaitable<bool> {
+auto Session::follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool> {
     auto usable = false;
     for (auto step = course.begin();;) {
         log_ticket(
--- a/source/process/node_invariants.cpp
+++ b/source/process/node_invariants.cpp
@@ -50,7 +50,7 @@
     return invariants::check(invariants::RefusalFacts{status, proof_age(clock_now()), settings.bounds.apply});
 }
 
-auto Node::request_leaves(Course const& course, LifecycleFacts const& facts) const -> bool {
+auto Node::request_leaves(RequestLifecycle const& course, LifecycleFacts const& facts) const -> bool {
     auto const& ticket = course.ticket;
     auto const once = invariants::check(invariants::RunOnceFacts{ticket.body.run_once, course.may_have_run});
     auto const sent = invariants::check(
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-auto Course::request_facts() const -> RetryRequest {
+auto RequestLifecycle::request_facts() const -> RetryRequest {
     auto facts = history;
     facts.repeatable = !ticket.body.run_once;
     return facts;
 }
 
 // Once a try may have run, giving up is no longer a refusal (design 10.1).
-auto Course::give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
+auto RequestLifecycle::give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
     LifecycleStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
     step.release_claim = claim_held && !history.may_have_run;
@@ -50,11 +50,11 @@
     return step;
 }
 
-auto Course::given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
+auto RequestLifecycle::given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
     return give_up(std::string(reason), retry_after);
 }
 
-auto Course::placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep {
+auto RequestLifecycle::placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep {
     placement = std::move(given);
     // A claim got long ago may have been forgotten since: a frozen node asks anew.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
@@ -62,7 +62,7 @@
     return last_checks(facts);
 }
 
-auto Course::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
+auto RequestLifecycle::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
     -> LifecycleStep {
     if (state == ClaimState::granted && facts.now - asked_at <= claim_use_limit) {
         claim_held = true;
@@ -81,7 +81,7 @@
 }
 
 // Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
-auto Course::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
+auto RequestLifecycle::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
     if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
         auto step = give_up("deadline", 1);
@@ -93,7 +93,7 @@
 }
 
 // Nothing was sent: no extra try, and no new ticket either.
-auto Course::enter_back() -> LifecycleStep {
+auto RequestLifecycle::enter_back() -> LifecycleStep {
     avoid.reset();
     ticket.counted = true;
     LifecycleStep step;
@@ -102,7 +102,7 @@
     return step;
 }
 
-auto Course::judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
+auto RequestLifecycle::judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
     rules = under;
     LifecycleStep step;
     step.give_back = placement.replica;
@@ -139,12 +139,12 @@
 }
 
 // Rules that moved while a request waits may only make it stricter.
-auto Course::take_rules(InferenceRequest const& judged_ticket) -> void {
+auto RequestLifecycle::take_rules(InferenceRequest const& judged_ticket) -> void {
     ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
     ticket.tries = std::min(ticket.tries, judged_ticket.tries);
 }
 
-auto Course::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
+auto RequestLifecycle::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
     if (end == TryEnd::did_not_run && reason == "seen") end = TryEnd::seen_before;
     may_have_run += surely_not_run(end) ? 0 : 1;
     limits.tries_left = ticket.tries - try_number;
@@ -162,7 +162,7 @@
     return step;
 }
 
-auto Course::gone() const -> LifecycleStep {
+auto RequestLifecycle::gone() const -> LifecycleStep {
     LifecycleStep step;
     step.release_claim = claim_held && !history.may_have_run;
     return step;
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -48,7 +48,7 @@
 
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
-struct Course {
+struct RequestLifecycle {
     InferenceRequest ticket;
     Sequence rules;  // under which the ticket was judged last
     Placement placement;
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -122,8 +122,8 @@
 }
 
 namespace {
-auto course_of(bool identity) -> Course {
-    Course course;
+auto course_of(bool identity) -> RequestLifecycle {
+    RequestLifecycle course;
     course.ticket.body.run_once = true;
     course.ticket.body.identity = identity ? "mine" : "";
     return course;
@@ -153,7 +153,7 @@
     }
     auto frozen = good_facts();
     frozen.now = 2 * claim_use_limit;
-    CHECK(Course(course).claimed(ClaimState::granted, 1, 0, frozen).step == Step::answer_shed);
+    CHECK(RequestLifecycle(course).claimed(ClaimState::granted, 1, 0, frozen).step == Step::answer_shed);
     auto drained = good_facts();
     drained.listed = false;
     auto held = course;
@@ -168,7 +168,7 @@
     CHECK(held.placed(placement(), moved).step == Step::interpret);
     Verdict refused;
     refused.status = 401;
-    auto const told = Course(held).judged(refused, {1, 5}, moved);
+    auto const told = RequestLifecycle(held).judged(refused, {1, 5}, moved);
     CHECK(told.step == Step::answer_refused);
     CHECK(told.release_claim);
     auto stale = good_facts();
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -13,7 +13,7 @@
 // A node with one listed replica under rules of sequence 1.1 and a proof of now.
 struct Sender {
     std::unique_ptr<Node> node = std::make_unique<Node>();
-    Course course;
+    RequestLifecycle course;
 
     Sender() {
         auto fresh = std::make_shared<Snapshot>();
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -21,7 +21,7 @@
     node->table.granting.burden.take_weights("replica", "", false);
     auto const now = clock_now();
     node->proven_at = now - 3 * one_second;  // older than the product's own limit
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket.number = 1;
     course.ticket.body.model = "model";
     course.ticket.arrived_at = now;
--- a/tests/relay_heads_test.cpp
+++ b/tests/relay_heads_test.cpp
@@ -27,7 +27,7 @@
     auto judged = RelayVerdict();
     judged.route = &route;
     if (with_tenant) judged.tenant = &tenant;
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket.deadline = 10 * one_second;
     course.placement.replica = "life-1";
     return head_for_replica(form, request, judged, course, -1, 3 * one_second - read_before);
@@ -41,7 +41,7 @@
     auto route = Route();
     auto judged = RelayVerdict();
     judged.route = &route;
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket.deadline = 10 * one_second;
     course.ticket.wall_domain = wall;
     course.ticket.body.prefix.push_back({"part", 100});
--- a/tests/relayed_test.cpp
+++ b/tests/relayed_test.cpp
@@ -123,7 +123,7 @@
     request.set("X-Kept", "kept");
     request.body() = "body";
     auto const judged = judge_relayed(rules_for_tests(), arrival("/x/1", "key-one"));
-    Course course;
+    RequestLifecycle course;
     course.ticket = judged.verdict.ticket;
     course.placement.replica = "life-1";
     course.placement.weights = "4";
--- a/tests/request_wire_helpers.hpp
+++ b/tests/request_wire_helpers.hpp
@@ -99,15 +99,15 @@
         node->snapshot = fresh;
         node->proven_at = clock_now();
     }
-    auto course_of(RelayVerdict const& verdict) -> Course {
+    auto course_of(RelayVerdict const& verdict) -> RequestLifecycle {
         know(false);
-        auto course = Course();
+        auto course = RequestLifecycle();
         course.ticket = verdict.verdict.ticket;
         course.placement.replica = "life-1";
         course.placement.address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
         return course;
     }
-    auto send(HttpRequest const& request, Course& course, RelayAnswer& answer, RelayVerdict const& verdict)
+    auto send(HttpRequest const& request, RequestLifecycle& course, RelayAnswer& answer, RelayVerdict const& verdict)
         -> TryResult {
         auto result = TryResult();
         auto done = false;
--- a/tests/retry_decision_test.cpp
+++ b/tests/retry_decision_test.cpp
@@ -135,7 +135,7 @@
 TEST_CASE("one request is sent to no more replicas than its route's tries, whatever happens") {
     for (auto tries = std::int64_t{1}; tries <= 4; ++tries)
         for (auto once : {false, true}) {
-            auto course = Course();
+            auto course = RequestLifecycle();
             course.ticket.tries = tries;
             course.ticket.body.run_once = once;
             auto sent = std::int64_t{1};
@@ -145,7 +145,7 @@
 }
 
 TEST_CASE("no time left: nothing is sent, and what has not run is refused") {
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket.deadline = 5 * one_second;
     auto facts = LifecycleFacts();
     facts.listed = true;
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("rules that move while a request waits never let it run more often or on more replicas") {
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket.body.run_once = false;
     course.ticket.tries = 3;
     CHECK(course.ended(TryEnd::unknown_before, "broke").step == Step::enter);
@@ -169,7 +169,7 @@
     verdict.ticket.tries = 9;
     CHECK(course.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::answer_unknown);
     CHECK(course.ticket.tries == 3);
-    auto fresh = Course();
+    auto fresh = RequestLifecycle();
     verdict.ticket.chain = {7};  // enters again, with what it was
     fresh.ticket.body.run_once = false;
     CHECK(fresh.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::enter);
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -150,7 +150,7 @@
 }
 
 // As a node looks at it right before it writes.
-auto Fleet::check_sent(std::size_t index, Course const& course) -> void {
+auto Fleet::check_sent(std::size_t index, RequestLifecycle const& course) -> void {
     auto const known = facts(index, course.placement.replica);
     auto const age = world.nodes[index]->control.proof_age(configuration_partition, known.now);
     invariants::check(invariants::SendFacts{age, known.proof_limit, known.listed, known.rules, course.rules});
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -114,7 +114,7 @@
         auto const verdict = judged(rules, identity);
         CHECK(verdict.verdict.ticket.body.model != "b");
         CHECK(judged(rules, identity).verdict.ticket.body.model == verdict.verdict.ticket.body.model);
-        auto course = Course();
+        auto course = RequestLifecycle();
         course.ticket = verdict.verdict.ticket;
         course.ticket.tries = 3;
         CHECK(course.ended(TryEnd::did_not_run, "busy").step == Step::enter);
@@ -126,7 +126,7 @@
 TEST_CASE("a route that moves to another service while a request waits takes the request along") {
     auto const before = compile_services(split_document({{"a", 1}}));
     auto const after = compile_services(split_document({{"b", 1}}));
-    auto course = Course();
+    auto course = RequestLifecycle();
     course.ticket = judged(before, "id-1").verdict.ticket;
     course.ticket.number = 7;
     auto facts = LifecycleFacts();
--- a/tests/stale_course_test.cpp
+++ b/tests/stale_course_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("rules that moved refuse as they say under a young proof and with 503 under an old one") {
     for (auto const status : {401, 403, 404}) {
-        auto course = Course();
+        auto course = RequestLifecycle();
         auto verdict = Verdict();
         verdict.kind = Verdict::Kind::answer;
         verdict.status = status;
--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -23,7 +23,7 @@
 struct OlderWeights {
     Wire wire;
     RelayVerdict verdict = wire.judged(false, true);
-    Course course = wire.course_of(verdict);
+    RequestLifecycle course = wire.course_of(verdict);
     RelayAnswer answer;
 
     OlderWeights(Script script, Microseconds left) : wire(std::move(script)) {
