--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -28,7 +28,7 @@
 }
 
 // Replicas that pass all filters. Where only failing ones would, they are better than none.
-auto Scheduler::candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
+auto Scheduler::candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
     for (auto const* state : burden.pool(waiting.ticket.body.model)) {
@@ -46,7 +46,7 @@
     return passed;
 }
 
-auto Scheduler::choose(Waiting& waiting, Microseconds now) -> ReplicaState const* {
+auto Scheduler::choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const* {
     auto const found = candidates(waiting, now);
     if (found.empty()) return nullptr;
     auto const prompt = waiting.ticket.prompt_tokens + waiting.ticket.prefix_tokens;
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -39,7 +39,7 @@
     auto const expected = expected_service(buffer, ticket);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
         auto ahead = std::size_t{0};
-        auto const mine = Waiting{ticket, now, {}, 0};
+        auto const mine = QueuedRequest{ticket, now, {}, 0};
         for (auto const& other : buffer.waiting)
             if (score(other, now) >= score(mine, now)) ++ahead;
         auto const wait = static_cast<Microseconds>(static_cast<double>(ahead) / buffer.drain_rate * 1'000'000.0);
@@ -95,7 +95,7 @@
 
 // (declared + wait) / declared, the paper's ratio with max tokens as the
 // declared size; share and rank bend it within bounds (design 9.2).
-auto Scheduler::score(Waiting const& waiting, Microseconds now) const -> double {
+auto Scheduler::score(QueuedRequest const& waiting, Microseconds now) const -> double {
     auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.ticket.body.max_tokens));
     auto const wait = static_cast<double>(now - waiting.since) / 1'000'000.0 * options.wait_token_rate;
     auto const rank = 1.0 + options.rank_weight * static_cast<double>(waiting.ticket.rank) / 9.0;
@@ -103,7 +103,7 @@
 }
 
 // Takes a place for the request there, with what is known of it now.
-auto Scheduler::place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
+auto Scheduler::place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
     auto const& ticket = waiting.ticket;
     auto placement = Placement{
         ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -77,7 +77,7 @@
     auto take() -> void { stored -= 1.0; }
 };
 
-struct Waiting {
+struct QueuedRequest {
     InferenceRequest ticket;
     Microseconds since = 0;
     std::set<std::string> avoid;  // replicas that refused it
@@ -85,7 +85,7 @@
     std::optional<Filter> held_by;
 };
 struct ModelQueue {
-    std::vector<Waiting> waiting;
+    std::vector<QueuedRequest> waiting;
     double drain_rate = 0.0;  // tickets each second, while any wait
     Microseconds drained_at = 0;
     double service_each_token = 0.0;  // microseconds
@@ -134,20 +134,20 @@
     auto first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void;
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
-    auto score(Waiting const& waiting, Microseconds now) const -> double;
+    auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
     auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
     auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
 
    private:
     auto match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
-    auto candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
-    auto choose(Waiting& waiting, Microseconds now) -> ReplicaState const*;
+    auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
+    auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
     auto least_requests(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
         const -> ReplicaState const*;
     auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
         const -> ReplicaState const*;
     auto kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> CachedPrefixes;
-    auto place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
+    auto place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
     auto plan_parts(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
         -> FetchPlan;
     auto plan_fetch(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -33,15 +33,16 @@
 TEST_CASE("short tickets lead, long ones age forward") {
     auto granting = make_granting(1);
     granting.options.rank_weight = 0.0;
-    auto const short_young = Waiting{make_ticket(1, 10), 10 * one_second, {}};
-    auto const long_young = Waiting{make_ticket(2, 1'000), 10 * one_second, {}};
-    auto const long_old = Waiting{make_ticket(3, 1'000), 0, {}};
+    auto const short_young = QueuedRequest{make_ticket(1, 10), 10 * one_second, {}};
+    auto const long_young = QueuedRequest{make_ticket(2, 1'000), 10 * one_second, {}};
+    auto const long_old = QueuedRequest{make_ticket(3, 1'000), 0, {}};
     auto const now = 10 * one_second + 200 * one_millisecond;
     CHECK(granting.score(short_young, now) > granting.score(long_young, now));
     CHECK(granting.score(long_old, now) > granting.score(long_young, now));
     CHECK(
         granting.score(long_old, 100 * one_second) >
-        granting.score(Waiting{make_ticket(4, 10), 99 * one_second + 900 * one_millisecond, {}}, 100 * one_second));
+        granting.score(
+            QueuedRequest{make_ticket(4, 10), 99 * one_second + 900 * one_millisecond, {}}, 100 * one_second));
 }
 
 TEST_CASE("the search stops at depth twenty, so a large ticket is not passed by for ever") {
