--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -60,7 +60,7 @@
     std::string replica;                  // the life it is for
 };
 // What a replica or store tells of kept parts, later than it happened.
-struct KeptEvent {
+struct CacheEvent {
     std::uint64_t number = 0;
     bool kept = false;  // or given up, wholly or in part
     std::string salt;
@@ -72,7 +72,7 @@
     std::string life;  // changes when it restarts
     std::uint64_t next = 0;
     bool gap = false;  // some events are lost
-    std::vector<KeptEvent> events;
+    std::vector<CacheEvent> events;
 };
 
 struct WireProtocol {
