--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -68,7 +68,7 @@
     std::int64_t tokens = 0;  // kept now
     std::string model;
 };
-struct KeptEvents {
+struct CacheEvents {
     std::string life;  // changes when it restarts
     std::uint64_t next = 0;
     bool gap = false;  // some events are lost
@@ -92,9 +92,9 @@
     std::function<std::optional<WeightsReport>(std::string_view body)> read_report;
     std::function<HttpCall(WeightsOrder const& order)> order_call;
     std::function<HttpCall(std::uint64_t since, Microseconds wait)> events_call;
-    std::function<std::optional<KeptEvents>(std::string_view body)> read_events;
+    std::function<std::optional<CacheEvents>(std::string_view body)> read_events;
     std::function<HttpCall()> kept_call;
-    std::function<std::optional<KeptEvents>(std::string_view body)> read_kept;  // all that is kept, as events
+    std::function<std::optional<CacheEvents>(std::string_view body)> read_kept;  // all that is kept, as events
 };
 
 }  // namespace dockrock
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -18,7 +18,7 @@
 constexpr Microseconds members_met = 3 * one_second / 2;         // a node that just started knows few others
 constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between sources
 
-auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> CacheBatch {
+auto batch_of(std::string const& name, bool store, std::uint64_t since, CacheEvents const& told) -> CacheBatch {
     auto batch = CacheBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
     std::vector<CacheChange> changes;
     for (auto const& event : told.events) {
@@ -141,7 +141,7 @@
         if (restarted && since != 0) {  // its events begin anew
             since = 0;
             life = told->life;
-            parts_told(batch_of(name, store, 0, KeptEvents{told->life, 0, true, {}}), true);
+            parts_told(batch_of(name, store, 0, CacheEvents{told->life, 0, true, {}}), true);
             continue;
         }
         if (told->next != since || told->gap || life.empty())
