--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -96,7 +96,7 @@
 
     // What other nodes' digests say of this replica, kept here so that no
     // placement looks through the digests (design 9.4).
-    struct Told {
+    struct RemoteLoad {
         std::uint64_t node = 0;   // number of the digest's node
         std::uint64_t order = 0;  // of that node for this replica's last places
         Microseconds at = 0;
@@ -108,7 +108,7 @@
         std::int64_t ended = 0;
         std::int64_t failed = 0;
     };
-    std::vector<Told> told;
+    std::vector<RemoteLoad> told;
     std::int64_t told_slots = 0;  // sums over `told`
     std::int64_t told_memory = 0;
     std::int64_t told_unread = 0;
@@ -122,7 +122,7 @@
     mutable std::uint64_t orders_known = 0;
 
     auto take_away(std::uint64_t ticket) -> void;
-    auto count_told(Told const& item, std::int64_t sign) -> void;
+    auto count_told(RemoteLoad const& item, std::int64_t sign) -> void;
     auto sum_told() -> void;
 };
 
@@ -142,7 +142,7 @@
     std::map<std::string, ReplicaState> replicas;
     std::map<std::string, std::vector<ReplicaState const*>, std::less<>> pools;  // by model, in the order of names
     struct Digest {
-        std::uint64_t node = 0;  // stands for the node's name in ReplicaState::Told
+        std::uint64_t node = 0;  // stands for the node's name in ReplicaState::RemoteLoad
         std::uint64_t number = 0;
         Microseconds at = 0;
         std::map<std::string, ReplicaLoad> replicas;
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -16,7 +16,7 @@
     placed.erase(found);
 }
 
-auto ReplicaState::count_told(Told const& item, std::int64_t sign) -> void {
+auto ReplicaState::count_told(RemoteLoad const& item, std::int64_t sign) -> void {
     told_slots += sign * item.slots;
     told_memory += sign * item.memory;
     told_unread += sign * item.unread;
