--- a/source/process/measures.hpp
+++ b/source/process/measures.hpp
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <string>
 
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -9,7 +9,7 @@
 #include "control/load.hpp"
 #include "scheduling/options.hpp"
 #include "scheduling/replica_health.hpp"
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The small interpreter a ticket goes through. docs/design.md section 9.1.
 #include "sequence/rules.hpp"
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
