--- a/scripts/check_includes.py
+++ b/scripts/check_includes.py
@@ -21,7 +21,7 @@
     (("platform",), ("programs",)),
 )
 WAITING = {
-    ("source/control/snapshot.hpp", "source/ticket/burden.hpp"),  # the replica list's own text
+    ("source/control/snapshot.hpp", "source/ticket/replica_load_table.hpp"),  # the replica list's own text
     ("source/sequence/plan.cpp", "source/control/control.hpp"),  # which partition holds a service
 }
 INCLUDE = re.compile(r'^\s*#\s*include\s+"([^"]+)"', re.MULTILINE)
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -5,7 +5,7 @@
 #include "control/replica_weights.hpp"
 #include "control/overdue_check.hpp"
 #include "sequence/rules.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 
 #include "connection/http_client.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 #include "version/services.hpp"
 
 namespace dockrock {
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -1,6 +1,6 @@
 // What is known of a replica's prompt work and outcomes, and the filters that a request's replica passes.
 // docs/design.md sections 9.3, 9.4 and 9.11.
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -2,7 +2,7 @@
 // nodes told, kept as they change. docs/design.md section 9.4.
 #include <algorithm>
 
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -2,7 +2,7 @@
 // of all others, and what it does without one. docs/design.md section 9.8.
 #include <algorithm>
 
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -6,7 +6,7 @@
 #include <unordered_set>
 
 #include "scheduling/reading_rate.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/burden.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -1,4 +1,4 @@
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/tests/simulation/simulated_replica.hpp
+++ b/tests/simulation/simulated_replica.hpp
@@ -3,7 +3,7 @@
 #include <deque>
 #include <functional>
 
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock::simulation {
 
