--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -1,6 +1,6 @@
 // Which replica gets a request: the filters, then the least busy. docs/design.md sections 9.3 and 9.7.
 #include "scheduling/placement_cost.hpp"
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -4,7 +4,7 @@
 // drive the same. docs/design.md sections 8.3, 10 and 10.5.
 #include "base/messages.hpp"
 #include "ticket/answering.hpp"
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 #include "ticket/interpreter.hpp"
 #include "ticket/retry_decision.hpp"
 
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/entry_table.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <mutex>
 
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -1,5 +1,5 @@
 // The fetch planner: where a missing prefix may come from. docs/design.md 9.7.
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 namespace dockrock {
 
--- a/source/ticket/granting.cpp
+++ b/source/ticket/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "sequence/rules.hpp"
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 #include "ticket/interpreter.hpp"
 
 namespace dockrock::testing {
--- a/tests/hollow/load.hpp
+++ b/tests/hollow/load.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Replicas, requests and the loads that other nodes tell of, of any size.
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 namespace dockrock::hollow {
 
