--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -30,7 +30,7 @@
 #include "process/work_queue.hpp"
 #include "sequence/rules.hpp"
 #include "ticket/course.hpp"
-#include "ticket/entry_table.hpp"
+#include "ticket/admission_table.hpp"
 
 namespace dockrock {
 
--- a/tests/interleaving_test.cpp
+++ b/tests/interleaving_test.cpp
@@ -1,6 +1,6 @@
 #include "helpers.hpp"
 #include "interleaving.hpp"
-#include "ticket/entry_table.hpp"
+#include "ticket/admission_table.hpp"
 
 using namespace dockrock;
 using namespace dockrock::testing;
