--- a/source/connection/request_trace.hpp
+++ b/source/connection/request_trace.hpp
@@ -3,7 +3,7 @@
 // `scripts/request_causes.py` reads these lines. docs/operators.md.
 #include <string>
 
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 #include "version/services.hpp"
 
 namespace dockrock {
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -2,7 +2,7 @@
 // One client connection and the tickets on it. docs/design.md sections 9.1, 10.
 #include "connection/http_message.hpp"
 #include "process/node.hpp"
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 namespace dockrock {
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -29,7 +29,7 @@
 #include "process/transport.hpp"
 #include "process/work_queue.hpp"
 #include "sequence/rules.hpp"
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 #include "ticket/admission_table.hpp"
 
 namespace dockrock {
--- a/source/ticket/course.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 namespace dockrock {
 
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -2,7 +2,7 @@
 // checks bite. docs/design.md section 10.5.
 #include <catch2/catch.hpp>
 
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 #include "world.hpp"
 
 using namespace dockrock;
--- a/tests/retry_decision_test.cpp
+++ b/tests/retry_decision_test.cpp
@@ -1,7 +1,7 @@
 // What may follow a try: every combination of facts. docs/requests.md has the table.
 #include <catch2/catch.hpp>
 
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 using namespace dockrock;
 
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -4,7 +4,7 @@
 // one seed. docs/design.md section 15.
 #include "control/orders.hpp"
 #include "simulated_replica.hpp"
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 #include "world.hpp"
 
 namespace dockrock::simulation {
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "request/relayed.hpp"
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 using namespace dockrock;
 
--- a/tests/stale_course_test.cpp
+++ b/tests/stale_course_test.cpp
@@ -1,7 +1,7 @@
 // A request that is judged again is refused under a young proof alone. docs/design.md section 8.3.
 #include <catch2/catch.hpp>
 
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 using namespace dockrock;
 
