--- a/source/ticket/answering.cpp
+++ b/source/ticket/piece_reader.cpp
@@ -1,4 +1,4 @@
-#include "ticket/answering.hpp"
+#include "ticket/piece_reader.hpp"
 
 #include "base/json_structs.hpp"
 
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -3,7 +3,7 @@
 // value type: events in, the next step out; the connection and the simulator
 // drive the same. docs/design.md sections 8.3, 10 and 10.5.
 #include "base/messages.hpp"
-#include "ticket/answering.hpp"
+#include "ticket/piece_reader.hpp"
 #include "ticket/scheduler.hpp"
 #include "ticket/interpreter.hpp"
 #include "ticket/retry_decision.hpp"
--- a/tests/endless_answer_test.cpp
+++ b/tests/endless_answer_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
-#include "ticket/answering.hpp"
+#include "ticket/piece_reader.hpp"
 
 using namespace dockrock;
 using namespace dockrock::testing;
