--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -1,5 +1,5 @@
 // What operators and the platform ask of a node. docs/interfaces.md.
-#include "connection/losses.hpp"
+#include "connection/loss_tolerance.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/node_call.hpp"
 #include "connection/peers_status.hpp"
--- a/source/connection/losses.cpp
+++ b/source/connection/loss_tolerance.cpp
@@ -1,4 +1,4 @@
-#include "connection/losses.hpp"
+#include "connection/loss_tolerance.hpp"
 
 #include <algorithm>
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "base/memory_budget.hpp"
-#include "connection/losses.hpp"
+#include "connection/loss_tolerance.hpp"
 #include "connection/http_client.hpp"
 #include "connection/replica_pool.hpp"
 #include "process/counters.hpp"
