--- a/source/control/kept_feed.cpp
+++ b/source/control/cache_feed.cpp
@@ -1,4 +1,4 @@
-#include "control/kept_feed.hpp"
+#include "control/cache_feed.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -4,7 +4,7 @@
 #include <array>
 
 #include "consensus/partition.hpp"
-#include "control/kept_feed.hpp"
+#include "control/cache_feed.hpp"
 #include "control/load_relay.hpp"
 #include "control/pending.hpp"
 #include "membership/membership.hpp"
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -1,7 +1,7 @@
 // Changes of kept prompts on their way to all nodes. docs/design.md section 9.9.
 #include <catch2/catch.hpp>
 
-#include "control/kept_feed.hpp"
+#include "control/cache_feed.hpp"
 #include "base/basics.hpp"
 
 using namespace dockrock;
