--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -8,7 +8,7 @@
 #include "control/load_relay.hpp"
 #include "control/pending.hpp"
 #include "membership/membership.hpp"
-#include "control/partition_news.hpp"
+#include "control/partition_view.hpp"
 #include "control/partition_watch.hpp"
 #include "control/version_namings.hpp"
 
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_view.cpp
@@ -1,4 +1,4 @@
-#include "control/partition_news.hpp"
+#include "control/partition_view.hpp"
 
 #include <algorithm>
 
--- a/source/control/partition_watch.hpp
+++ b/source/control/partition_watch.hpp
@@ -3,7 +3,7 @@
 // force; no decision rests on it but to hold back. docs/consensus.md section 5.
 #include "base/invariant_checks.hpp"
 #include "consensus/partition.hpp"
-#include "control/partition_news.hpp"
+#include "control/partition_view.hpp"
 
 namespace dockrock {
 
