--- a/source/control/list_pace.cpp
+++ b/source/control/list_polling.cpp
@@ -1,4 +1,4 @@
-#include "control/list_pace.hpp"
+#include "control/list_polling.hpp"
 
 #include <algorithm>
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -13,7 +13,7 @@
 #include "connection/replica_pool.hpp"
 #include "process/counters.hpp"
 #include "process/form.hpp"
-#include "control/list_pace.hpp"
+#include "control/list_polling.hpp"
 #include "control/orders.hpp"
 #include "control/resting.hpp"
 #include "control/weights_duty.hpp"
--- a/tests/hollow/fleet.hpp
+++ b/tests/hollow/fleet.hpp
@@ -7,7 +7,7 @@
 #include "figures.hpp"
 #include "load.hpp"
 #include "control/control.hpp"
-#include "control/list_pace.hpp"
+#include "control/list_polling.hpp"
 #include "control/snapshot.hpp"
 
 namespace dockrock::hollow {
