--- a/source/control/version_namings.hpp
+++ b/source/control/version_namings.hpp
@@ -3,7 +3,7 @@
 // other nodes tell of it: a node that restarted, or was cut off while a version
 // was named, comes to count from the naming again. docs/design.md section 11.4.
 #include "base/messages.hpp"
-#include "control/named_versions.hpp"
+#include "control/version_times.hpp"
 
 namespace dockrock {
 
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -3,7 +3,7 @@
 // the decisions, apart from who may order. docs/design.md section 11.
 #include <array>
 
-#include "control/named_versions.hpp"
+#include "control/version_times.hpp"
 
 namespace dockrock {
 
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -10,7 +10,7 @@
 #include <set>
 
 #include "control/control.hpp"
-#include "control/named_versions.hpp"
+#include "control/version_times.hpp"
 
 namespace dockrock {
 
