--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -10,7 +10,7 @@
 #include "membership/membership.hpp"
 #include "control/partition_view.hpp"
 #include "control/partition_watch.hpp"
-#include "control/version_namings.hpp"
+#include "control/version_history.hpp"
 
 namespace dockrock {
 
--- a/source/control/version_namings.cpp
+++ b/source/control/version_history.cpp
@@ -1,4 +1,4 @@
-#include "control/version_namings.hpp"
+#include "control/version_history.hpp"
 
 #include <algorithm>
 
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -1,7 +1,7 @@
 // What nodes tell each other of when versions were named. docs/design.md section 11.4.
 #include <catch2/catch.hpp>
 
-#include "control/version_namings.hpp"
+#include "control/version_history.hpp"
 
 using namespace dockrock;
 
