--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -2,7 +2,7 @@
 // The duty of a service partition's leased leader to bring replicas to the
 // versions named: which calls are due now. docs/design.md section 11.
 #include "control/snapshot.hpp"
-#include "control/tenure.hpp"
+#include "control/takeover_wait.hpp"
 #include "control/versions_rollout.hpp"
 
 namespace dockrock {
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <set>
 
-#include "control/tenure.hpp"
+#include "control/takeover_wait.hpp"
 #include "control/versions_rollout.hpp"
 
 namespace dockrock::testing {
