--- a/source/control/resting.cpp
+++ b/source/control/resting_policy.cpp
@@ -1,4 +1,4 @@
-#include "control/resting.hpp"
+#include "control/resting_policy.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -15,7 +15,7 @@
 #include "process/form.hpp"
 #include "control/list_polling.hpp"
 #include "control/orders.hpp"
-#include "control/resting.hpp"
+#include "control/resting_policy.hpp"
 #include "control/weights_duty.hpp"
 #include "control/weights_guard.hpp"
 #include "control/work_limits.hpp"
--- a/tests/resting_test.cpp
+++ b/tests/resting_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "control/resting.hpp"
+#include "control/resting_policy.hpp"
 
 using namespace dockrock;
 
