--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "base/copy_change.hpp"
-#include "base/naming_messages.hpp"
+#include "base/version_age_messages.hpp"
 #include "base/relay_messages.hpp"
 
 namespace dockrock {
