--- a/source/process/measures.cpp
+++ b/source/process/latency_metrics.cpp
@@ -1,4 +1,4 @@
-#include "process/measures.hpp"
+#include "process/latency_metrics.hpp"
 
 #include <cstdio>
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -20,7 +20,7 @@
 #include "control/weights_guard.hpp"
 #include "control/work_limits.hpp"
 #include "process/machine_limits.hpp"
-#include "process/measures.hpp"
+#include "process/latency_metrics.hpp"
 #include "process/news_sight.hpp"
 #include "process/node_types.hpp"
 #include "process/settings.hpp"
