--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -21,7 +21,7 @@
 #include "control/work_limits.hpp"
 #include "process/machine_limits.hpp"
 #include "process/latency_metrics.hpp"
-#include "process/news_sight.hpp"
+#include "process/update_metrics.hpp"
 #include "process/node_types.hpp"
 #include "process/settings.hpp"
 #include "process/snapshot_holder.hpp"
--- a/source/process/news_sight.cpp
+++ b/source/process/update_metrics.cpp
@@ -1,4 +1,4 @@
-#include "process/news_sight.hpp"
+#include "process/update_metrics.hpp"
 
 #include "process/log.hpp"
 
