--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -6,7 +6,7 @@
 #include "connection/message_parser.hpp"
 #include "connection/request_trace.hpp"
 #include "connection/session.hpp"
-#include "process/form.hpp"
+#include "process/wire_protocol.hpp"
 #include "request/event_reader.hpp"
 #include "request/relayed.hpp"
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -12,7 +12,7 @@
 #include "connection/http_client.hpp"
 #include "connection/replica_pool.hpp"
 #include "process/counters.hpp"
-#include "process/form.hpp"
+#include "process/wire_protocol.hpp"
 #include "control/list_polling.hpp"
 #include "control/orders.hpp"
 #include "control/resting_policy.hpp"
--- a/source/version/services.hpp
+++ b/source/version/services.hpp
@@ -66,7 +66,7 @@
     bool keyed = false;  // the document names tenants: requests carry keys
 };
 
-// The two functions of a fleet's form (process/form.hpp) that know documents.
+// The two functions of a fleet's form (process/wire_protocol.hpp) that know documents.
 struct DocumentFormat {
     // Into the product's own structure; empty: it can't be read.
     std::function<std::optional<ServiceDocument>(std::string_view text, Problems& problems)> read_document;
--- a/tests/relay_form.hpp
+++ b/tests/relay_form.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A wire's names for tests of heads: none of them is a real platform's.
-#include "process/form.hpp"
+#include "process/wire_protocol.hpp"
 
 namespace dockrock::testing {
 
