--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "platform/form.hpp"
+#include "platform/platform_protocol.hpp"
 #include "platform/settings.hpp"
 
 using namespace dockrock;
