--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -43,7 +43,7 @@
             index == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
     if (form != nullptr) relay_changes();
     else take_scheduling_options(table.scheduler.options);
-    table.scheduler.burden.self = identity;
+    table.scheduler.load_table.self = identity;
     take_limits();
     next_ticket = (static_cast<std::uint64_t>(device()) << 31U) + 1;
     proven_at = started_at - 3'600 * one_second;
@@ -110,10 +110,10 @@
     }
     if (!output.digests.empty() || !output.load_sums.empty()) {
         auto const guard = std::lock_guard(table.lock);
-        auto& burden = table.scheduler.burden;
-        for (auto const& [node, digest] : output.digests) burden.take_digest(node, digest.number, digest.body, now);
+        auto& load_table = table.scheduler.load_table;
+        for (auto const& [node, digest] : output.digests) load_table.take_digest(node, digest.number, digest.body, now);
         for (auto const& [relay, sum] : output.load_sums)
-            burden.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
+            load_table.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
     }
     if (!output.kept.empty()) take_feed(output.kept);
     sight.take(control.news_counts, output.notes);
@@ -144,7 +144,7 @@
     auto const guard = std::lock_guard(table.lock);
     if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written here alone
     if (form != nullptr) take_services(*fresh);
-    table.scheduler.burden.take_list(fresh->list);
+    table.scheduler.load_table.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
     table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
     table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -122,7 +122,7 @@
         Level::information, "disk-taken-up",
         fields("identity", holding.identity, "incarnation", holding.incarnation, "had_state", holding.had_state));
     auto const guard = std::lock_guard(table.lock);
-    table.scheduler.burden.self = holding.identity;
+    table.scheduler.load_table.self = holding.identity;
 }
 
 auto Node::next_saves() -> std::vector<Save> {
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -7,12 +7,12 @@
 
 // Holds the table's lock on entry; it is let go before the control side is entered.
 auto Node::tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
-    auto& burden = table.scheduler.burden;
+    auto& load_table = table.scheduler.load_table;
     auto const number = static_cast<std::uint64_t>(now);
-    auto const relayed = burden.relayed;
-    auto body = relayed ? burden.make_told(number, now) : burden.make_digest(now);
-    auto relay = burden.summed.relay;
-    auto const held = burden.summed.number;
+    auto const relayed = load_table.relayed;
+    auto body = relayed ? load_table.make_told(number, now) : load_table.make_digest(now);
+    auto relay = load_table.summed.relay;
+    auto const held = load_table.summed.number;
     guard.unlock();
     in_control([this, now, number, relayed, body = std::move(body), relay = std::move(relay), held] {
         if (relayed) act_on(control.tell_load(now, number, body, relay, held));
@@ -27,8 +27,8 @@
     auto const nodes = control.nodes_placing();
     {
         auto const guard = std::lock_guard(table.lock);
-        table.scheduler.burden.relayed = relayed;
-        table.scheduler.burden.fleet_nodes = nodes;
+        table.scheduler.load_table.relayed = relayed;
+        table.scheduler.load_table.fleet_nodes = nodes;
     }
     if (relayed == load_relayed) return;
     load_relayed = relayed;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -93,12 +93,12 @@
 auto Node::take_kept(CacheBatch const& batch, bool forget) -> void {
     auto const changes = read_changes(batch.changes);
     auto const guard = std::lock_guard(table.lock);
-    auto& burden = table.scheduler.burden;
+    auto& load_table = table.scheduler.load_table;
     auto const found = batch.store ? table.scheduler.stores.find(batch.source) : table.scheduler.stores.end();
     if (!changes || (batch.store && found == table.scheduler.stores.end())) return;
     if (batch.store) found->second.up = !batch.life.empty();
     if (forget && batch.store) found->second.parts.clear();
-    else if (forget) burden.forget_parts(batch.source);
+    else if (forget) load_table.forget_parts(batch.source);
     if (forget) ++counters.part_gaps;
     std::vector<std::uint64_t> marks;
     for (auto const& weights : batch.weights) marks.push_back(hash_text(weights));
@@ -106,7 +106,7 @@
         ++counters.part_events;
         if (change.weights >= marks.size()) continue;
         auto const mark = marks[change.weights];
-        if (!batch.store) burden.take_part(batch.source, change.part, mark, change.kept);
+        if (!batch.store) load_table.take_part(batch.source, change.part, mark, change.kept);
         else if (change.kept) found->second.parts.insert(change.part ^ mark);
         else found->second.parts.erase(change.part ^ mark);
     }
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -99,11 +99,11 @@
                 reports[name] = report;
             }
             auto const guard = std::lock_guard(table.lock);
-            table.scheduler.burden.take_report(name, report, asked_at);
+            table.scheduler.load_table.take_report(name, report, asked_at);
             if (table.scheduler.waiting_count() > 0) match_locked(clock_now());
         } else if (answer.end == CallEnd::not_sent) {
             auto const guard = std::lock_guard(table.lock);
-            table.scheduler.burden.report_failed(name, clock_now());
+            table.scheduler.load_table.report_failed(name, clock_now());
         }
         auto const busy = clock_now() - last_ticket < 10 * one_second;
         auto const idle_pause = settings.data_folder.empty() ? 2'000 : 1'000;  // the core follows roll-outs
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -77,7 +77,7 @@
         if (weights_guard.withhold(name, late))  // the leader's log tells why it takes so long
             write_log(Level::warning, "weights-withheld", fields("replica", name, "version", version));
         auto const closed = held.loading || late || unjudged;
-        table.scheduler.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
+        table.scheduler.load_table.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
     }
     weights_guard.plan_judging(fresh.replica_weights, now);
     weights_guard.forget_others(fresh.replica_weights);
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 auto Node::release(std::string const& replica, std::uint64_t ticket) -> void {
-    table.with([&](Scheduler& scheduler) { scheduler.burden.release(replica, ticket); });
+    table.with([&](Scheduler& scheduler) { scheduler.load_table.release(replica, ticket); });
 }
 
 // For the last checks. They hold what matching held: a try that matching allows
@@ -49,9 +49,9 @@
     {
         auto const guard = std::lock_guard(table.lock);
         table.scheduler.finished(replica, ticket, now - sent_at, now, end == TryEnd::answered);
-        if (retry::outcome_of_replica(end)) table.scheduler.burden.ended(replica, end != TryEnd::answered, now);
-        if (end == TryEnd::not_sent) table.scheduler.burden.report_failed(replica, now);
-        if (end == TryEnd::did_not_run) table.scheduler.burden.refused(replica, reason, now);
+        if (retry::outcome_of_replica(end)) table.scheduler.load_table.ended(replica, end != TryEnd::answered, now);
+        if (end == TryEnd::not_sent) table.scheduler.load_table.report_failed(replica, now);
+        if (end == TryEnd::did_not_run) table.scheduler.load_table.refused(replica, reason, now);
         if (table.scheduler.waiting_count() > 0) match_locked(now);
     }
     if (end == TryEnd::answered) {
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -31,9 +31,9 @@
 auto Scheduler::candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
-    for (auto const* state : burden.pool(waiting.ticket.body.model)) {
+    for (auto const* state : load_table.pool(waiting.ticket.body.model)) {
         if (waiting.avoid.contains(state->entry.name)) continue;
-        auto const result = burden.check(*state, waiting.ticket, now);
+        auto const result = load_table.check(*state, waiting.ticket, now);
         ++filtered[static_cast<std::size_t>(result)];
         ++counts[static_cast<std::size_t>(result)];
         if (result == Filter::passed) passed.push_back(state);
@@ -58,7 +58,7 @@
 auto Scheduler::least_requests(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
     -> ReplicaState const* {
-    auto const seed = options.work_outstanding ? spreading_seed(ticket, burden.self)
+    auto const seed = options.work_outstanding ? spreading_seed(ticket, load_table.self)
         : ticket.affinity != 0                 ? ticket.affinity
                                                : ticket.number;
     auto const steps = options.work_outstanding ? std::int64_t{0} : options.load_steps;
@@ -68,8 +68,8 @@
     auto best_hash = std::uint64_t{0};
     for (auto const* candidate : found) {
         auto const& state = *candidate;
-        auto const running = burden.running(state, now) + burden.reserve(state, now);
-        auto const kept = burden.kept_tokens(state, ticket);
+        auto const running = load_table.running(state, now) + load_table.reserve(state, now);
+        auto const kept = load_table.kept_tokens(state, ticket);
         auto const hash = hash_text(state.entry.name, seed);
         auto better = best == nullptr;
         if (!better) {
@@ -90,10 +90,10 @@
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
 auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> CachedPrefixes {
     auto runs = CachedPrefixes{weights_mark};
-    for (auto const* state : burden.pool(ticket.body.model)) {
+    for (auto const* state : load_table.pool(ticket.body.model)) {
         if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
             continue;
-        runs.replicas = std::max(runs.replicas, burden.kept_tokens(*state, ticket));
+        runs.replicas = std::max(runs.replicas, load_table.kept_tokens(*state, ticket));
     }
     for (auto const& [name, store] : stores) {
         if (!store.up || !options.store_reads) continue;
@@ -111,7 +111,7 @@
 auto Scheduler::least_work(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
     -> ReplicaState const* {
-    auto const seed = spreading_seed(ticket, burden.self);
+    auto const seed = spreading_seed(ticket, load_table.self);
     auto const by_hash = [&](auto const* left, auto const* right) {
         return hash_text(left->entry.name, seed) < hash_text(right->entry.name, seed);
     };
@@ -130,12 +130,12 @@
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
-        view.kept = burden.kept_tokens(*state, ticket);
+        view.kept = load_table.kept_tokens(*state, ticket);
         auto const& runs = runs_for(state->weights_mark);
-        view.outstanding = burden.unread(*state, now);
+        view.outstanding = load_table.unread(*state, now);
         view.best_kept = runs.replicas;
         view.movable = std::max(options.peer_moves ? runs.replicas : 0, runs.stores);
-        view.queued = std::max<std::int64_t>(0, burden.running(*state, now) + 1 - state->entry.capacity);
+        view.queued = std::max<std::int64_t>(0, load_table.running(*state, now) + 1 - state->entry.capacity);
         view.home = !options.prefix_home || state == home;
         auto const work = work_before_first_token(view, rates);
         if (best != nullptr && (work > best_work || (work == best_work && !by_hash(state, best)))) continue;
@@ -153,7 +153,7 @@
 }
 
 auto Scheduler::first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void {
-    burden.first_output(placement.replica, ticket.number);
+    load_table.first_output(placement.replica, ticket.number);
     // What waited behind other prompts says nothing of the speed of reading.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
         reading_rates[ticket.body.model].add(placement.tokens_to_read, took);
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -58,7 +58,7 @@
     auto abandon(std::uint64_t number) -> void {
         auto const guard = Guard(lock);
         auto const entry = take(number);
-        if (entry.placement) scheduler.burden.release(entry.placement->replica, number);
+        if (entry.placement) scheduler.load_table.release(entry.placement->replica, number);
     }
 
     auto match(Microseconds now, Microseconds proof_age) -> void {
@@ -94,7 +94,7 @@
         for (auto const& placement : decisions.placements) {
             auto const found = entries.find(placement.ticket);
             if (found == entries.end()) {
-                scheduler.burden.release(placement.replica, placement.ticket);
+                scheduler.load_table.release(placement.replica, placement.ticket);
                 continue;
             }
             found->second.placement = placement;
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -107,18 +107,18 @@
     auto const& ticket = waiting.ticket;
     auto placement = Placement{
         ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
-    placement.kept_tokens = burden.kept_tokens(state, ticket);
+    placement.kept_tokens = load_table.kept_tokens(state, ticket);
     placement.fetch = ticket.parts_alone ? plan_parts(state, ticket, placement.kept_tokens, now)
                                          : plan_fetch(state, ticket, placement.kept_tokens, now);
     placement.tokens_to_read = std::max<std::int64_t>(
         0, ticket.prompt_tokens + ticket.prefix_tokens - placement.kept_tokens - placement.fetch.tokens);
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
-    placement.outstanding = burden.unread(state, now);
-    placement.running = burden.running(state, now);
+    placement.outstanding = load_table.unread(state, now);
+    placement.running = load_table.running(state, now);
     placement.best_kept = kept_runs(ticket, state.weights_mark).replicas;
     placement.held_by = waiting.held_by;
     auto const memory = ticket.declared() - placement.kept_tokens;
-    burden.place(placement.replica, ticket, memory, now, placement.tokens_to_read);
+    load_table.place(placement.replica, ticket, memory, now, placement.tokens_to_read);
     auto& used = usage[ticket.tenant_path];
     used = {
         decayed(used.amount, now - used.at, options.share_half_life) + static_cast<double>(ticket.declared()), now,
@@ -129,7 +129,7 @@
 
 auto Scheduler::match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions)
     -> void {
-    auto const& pool = burden.pool(model);
+    auto const& pool = load_table.pool(model);
     auto const any_replica = std::any_of(
         pool.begin(), pool.end(), [](auto const* state) { return !state->entry.drain && !state->unreachable; });
     if (any_replica) buffer.empty_pool_since = 0;
@@ -196,7 +196,7 @@
     std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now, bool answered)
     -> void {
     (void)now;
-    burden.release(replica, ticket.number);
+    load_table.release(replica, ticket.number);
     if (!answered) return;
     auto& buffer = buffers[ticket.body.model];
     auto const each =
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -94,7 +94,7 @@
 
 struct Scheduler {
     SchedulingOptions options;
-    ReplicaLoadTable burden;
+    ReplicaLoadTable load_table;
     std::map<std::string, ModelQueue> buffers;
     std::size_t buffer_length = 256;
     RetryBudget budget;
@@ -119,7 +119,7 @@
     std::uint64_t placed_count = 0;
     std::uint64_t extra_tries = 0;
 
-    auto set_options(SchedulingOptions const& given) -> void { options = burden.options = given; }
+    auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
     auto enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void;
     auto enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void;
     auto fetched(
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -194,7 +194,7 @@
 
 TEST_CASE("a lost digest counts for nothing, and one older than it is still not taken") {
     auto scheduler = make_granting(1);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     auto const told = std::string(R"({"r0":{"count":2,"slots":2,"memory":10,"recent":0}})");
     table.take_digest("other", 5, told, one_second);
     auto const& state = table.replicas.at("r0");
@@ -210,7 +210,7 @@
 
 TEST_CASE("a replica that is listed after others told of it starts with what they told") {
     auto scheduler = make_granting(1);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     table.take_digest("other", 1, R"({"r1":{"count":3,"slots":3,"memory":10,"recent":1}})", one_second);
     auto list = ReplicaList();
     for (auto const* name : {"r0", "r1"}) {
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -67,12 +67,12 @@
     auto seen = Seen();
     auto session = SessionWire(working(seen, ""));
     auto& scheduler = session.wire.node->table.scheduler;
-    scheduler.burden.take_weights("life-1", "", true);
+    scheduler.load_table.take_weights("life-1", "", true);
     session.say(post("id-1"));
     REQUIRE(session.run_until([&] { return scheduler.waiting_count() == 1; }));
     session.leave();
     CHECK(session.run_until([&] { return scheduler.waiting_count() == 0 && session.session_over; }, bound));
-    scheduler.burden.take_weights("life-1", "", false);
+    scheduler.load_table.take_weights("life-1", "", false);
     session.run_for(100 * one_millisecond);
     CHECK(session.wire.accepted == 0);
     CHECK(session.wire.node->open_tickets == 0);
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -5,7 +5,7 @@
 
 TEST_CASE("every filter holds a ticket back by its own name") {
     auto scheduler = make_granting(1);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     auto& state = table.replicas.at("r0");
     auto const ticket = make_ticket(1);
     CHECK(table.check(state, ticket, 10) == Filter::passed);
@@ -58,17 +58,17 @@
 
 TEST_CASE("the least busy by running over capacity gets the ticket, ties go to the longest kept prefix") {
     auto scheduler = make_granting(3);
-    scheduler.burden.replicas.at("r0").entry.capacity = 4;
-    scheduler.burden.place("r0", make_ticket(100), 1, 1);
-    scheduler.burden.place("r1", make_ticket(101), 1, 1);
-    scheduler.burden.place("r2", make_ticket(102), 1, 1);
+    scheduler.load_table.replicas.at("r0").entry.capacity = 4;
+    scheduler.load_table.place("r0", make_ticket(100), 1, 1);
+    scheduler.load_table.place("r1", make_ticket(101), 1, 1);
+    scheduler.load_table.place("r2", make_ticket(102), 1, 1);
     enter(scheduler, make_ticket(1), 10);
     CHECK(match(scheduler, 10).placements.at(0).replica == "r0");  // 1/4 against 1/2
-    scheduler.burden.place("r0", make_ticket(103), 1, 1);          // r0 now 3/4
+    scheduler.load_table.place("r0", make_ticket(103), 1, 1);      // r0 now 3/4
     auto report = report_of(100'000);
     report.events = {{0, "kept", "7"}};
     report.next_event = 1;
-    scheduler.burden.take_report("r2", report, 20);
+    scheduler.load_table.take_report("r2", report, 20);
     enter(scheduler, with_prefix(make_ticket(2), {7}, 50), 30);
     auto const placed = match(scheduler, 30).placements.at(0);
     CHECK(placed.replica == "r2");
@@ -77,7 +77,7 @@
 
 TEST_CASE("gapped prefix events and other weights count for nothing") {
     auto scheduler = make_granting(1);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     auto const& state = table.replicas.at("r0");
     auto const ticket = with_prefix(make_ticket(1), {7, 8}, 50);
     auto report = report_of(1'000);
@@ -158,7 +158,7 @@
         auto const decisions = match(scheduler, now);
         for (auto const& item : decisions.placements) {
             CHECK(item.replica == "r1");
-            scheduler.burden.release("r1", item.ticket);
+            scheduler.load_table.release("r1", item.ticket);
         }
         placed += decisions.placements.size();
         for (auto const& item : decisions.sheds) CHECK(item.reason == ShedReason::budget);
@@ -173,7 +173,7 @@
 
 TEST_CASE("a pool that is gone is told within two seconds, not at the deadline") {
     auto scheduler = make_granting(1);
-    scheduler.burden.replicas.at("r0").entry.drain = true;
+    scheduler.load_table.replicas.at("r0").entry.drain = true;
     enter(scheduler, make_ticket(1), 0);
     CHECK(match(scheduler, 1).sheds.empty());
     CHECK(match(scheduler, 2 * one_second).sheds.at(0).reason == ShedReason::no_replica);
@@ -181,7 +181,7 @@
 
 TEST_CASE("a fetch is planned only from the same weights and where it beats recomputing") {
     auto scheduler = make_granting(2);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     auto report = report_of(100'000);
     report.events = {{0, "kept", "7"}};
     report.next_event = 1;
@@ -214,17 +214,17 @@
 TEST_CASE("the last place at a replica goes to the node that has the fewest there, whatever its name") {
     for (auto const* name : {"a", "b", "c", "d", "e", "f"}) {
         auto scheduler = make_granting(1, 2);
-        scheduler.burden.self = name;
-        scheduler.burden.take_digest("other", 1, R"({"r0":{"count":8,"slots":8,"memory":0,"recent":0}})", 1'000);
+        scheduler.load_table.self = name;
+        scheduler.load_table.take_digest("other", 1, R"({"r0":{"count":8,"slots":8,"memory":0,"recent":0}})", 1'000);
         enter(scheduler, make_ticket(1), 2'000);
         CHECK(match(scheduler, 2'000).placements.size() == 1);  // none of ours is there: ours is the place
         auto crowded = make_granting(1, 2);
-        crowded.burden.self = name;
+        crowded.load_table.self = name;
         for (auto number = std::uint64_t{10}; number < 14; ++number)
-            crowded.burden.place("r0", make_ticket(number), 0, 1'000);
-        crowded.burden.make_digest(1'500);
-        crowded.burden.take_digest("other", 1, R"({"r0":{"count":4,"slots":4,"memory":0,"recent":0}})", 1'600);
-        crowded.burden.take_digest("third", 1, R"({"r1":{"count":1,"slots":1,"memory":0,"recent":0}})", 1'600);
+            crowded.load_table.place("r0", make_ticket(number), 0, 1'000);
+        crowded.load_table.make_digest(1'500);
+        crowded.load_table.take_digest("other", 1, R"({"r0":{"count":4,"slots":4,"memory":0,"recent":0}})", 1'600);
+        crowded.load_table.take_digest("third", 1, R"({"r1":{"count":1,"slots":1,"memory":0,"recent":0}})", 1'600);
         enter(crowded, make_ticket(1), 2'000);
         CHECK(match(crowded, 2'000).placements.empty());  // the third has none there yet
     }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -65,7 +65,7 @@
 // A granting table over replicas r0, r1, ... of model "large", all reported.
 inline auto make_granting(std::size_t replicas, std::int64_t capacity = 2, std::int64_t memory = 100'000) -> Scheduler {
     Scheduler scheduler;
-    scheduler.burden.self = "self";
+    scheduler.load_table.self = "self";
     ReplicaList list;
     for (auto number = std::size_t{0}; number < replicas; ++number) {
         ReplicaEntry entry;
@@ -76,8 +76,8 @@
         entry.memory = memory;
         list.replicas.push_back(entry);
     }
-    scheduler.burden.take_list(list);
-    for (auto const& entry : list.replicas) scheduler.burden.take_report(entry.name, report_of(memory), 1);
+    scheduler.load_table.take_list(list);
+    for (auto const& entry : list.replicas) scheduler.load_table.take_report(entry.name, report_of(memory), 1);
     return scheduler;
 }
 
--- a/tests/hollow/load.cpp
+++ b/tests/hollow/load.cpp
@@ -79,12 +79,12 @@
 
 auto ready_granting(LoadShape const& shape, ReplicaList const& list) -> Scheduler {
     Scheduler scheduler;
-    scheduler.burden.self = node_name(0);
-    scheduler.options.load_steps = scheduler.burden.options.load_steps = 8;
-    scheduler.burden.take_list(list);
+    scheduler.load_table.self = node_name(0);
+    scheduler.options.load_steps = scheduler.load_table.options.load_steps = 8;
+    scheduler.load_table.take_list(list);
     for (auto const& entry : list.replicas) {
-        scheduler.burden.take_weights(entry.name, "1", false);
-        scheduler.burden.replicas.at(entry.name).report->free_memory = shape.memory;
+        scheduler.load_table.take_weights(entry.name, "1", false);
+        scheduler.load_table.replicas.at(entry.name).report->free_memory = shape.memory;
     }
     return scheduler;
 }
--- a/tests/hollow/slopes.cpp
+++ b/tests/hollow/slopes.cpp
@@ -38,7 +38,7 @@
     auto const tell = [&](std::size_t node) {
         auto const& body = told[(node + random.below(told.size())) % told.size()];
         auto const watch = Stopwatch(taking, measured_account);
-        measured.burden.take_digest(node_name(node), static_cast<std::uint64_t>(now), body, now);
+        measured.load_table.take_digest(node_name(node), static_cast<std::uint64_t>(now), body, now);
         ++digests;
     };
     for (auto node = std::size_t{1}; node < shape.nodes; ++node) tell(node);
@@ -73,12 +73,12 @@
         for (auto const& item : decisions.placements) under_way.emplace_back(item.replica, item.ticket);
         placed += static_cast<int>(decisions.placements.size());
         if (under_way.size() > static_cast<std::size_t>(shape.requests / 2.0)) {
-            measured.burden.release(under_way.front().first, under_way.front().second);
+            measured.load_table.release(under_way.front().first, under_way.front().second);
             under_way.erase(under_way.begin());
         }
         if (count % 7 == 0) {
             auto const watch = Stopwatch(making, measured_account);
-            bytes += measured.burden.make_digest(now).size();
+            bytes += measured.load_table.make_digest(now).size();
             ++made;
         }
         if (processor_nanoseconds() - whole > options.time_limit || live_bytes(measured_account) > options.bytes_limit)
@@ -114,7 +114,7 @@
     for (auto const& entry : list.replicas) {
         auto const watch = Stopwatch(spent, measured_account);
         for (auto count = std::size_t{0}; count < each; ++count)
-            measured.burden.take_part(entry.name, random.next(), "1", true);
+            measured.load_table.take_part(entry.name, random.next(), "1", true);
     }
     auto const held = static_cast<double>(each * replicas);
     run.figures["bytes_a_block"] = static_cast<double>(live_bytes(measured_account) - before) / held;
@@ -124,7 +124,7 @@
     for (auto count = 0; count < rounds; ++count) {
         auto const request = request_of(shape, 1, random);
         auto const watch = Stopwatch(looking, measured_account);
-        for (auto const& [name, state] : measured.burden.replicas) measured.burden.kept_tokens(state, request);
+        for (auto const& [name, state] : measured.load_table.replicas) measured.load_table.kept_tokens(state, request);
     }
     run.figures["lookup_nanoseconds"] = static_cast<double>(looking) / rounds / static_cast<double>(replicas);
     return run;
--- a/tests/interleaving_test.cpp
+++ b/tests/interleaving_test.cpp
@@ -18,7 +18,7 @@
 
 // Nothing is left behind: no entry, nothing waiting, no place held by nobody.
 auto nothing_left(Scene& scene, std::size_t held) -> bool {
-    auto const& state = scene.table.scheduler.burden.replicas.at("r0");
+    auto const& state = scene.table.scheduler.load_table.replicas.at("r0");
     return scene.table.entries.empty() && scene.table.scheduler.waiting_count() == 0 && state.placed.size() == held;
 }
 
@@ -29,7 +29,7 @@
         if (auto const found = table.entries.find(number); found != table.entries.end())
             placement = found->second.placement;
     });
-    if (placement) table.with([&](Scheduler& scheduler) { scheduler.burden.release(placement->replica, number); });
+    if (placement) table.with([&](Scheduler& scheduler) { scheduler.load_table.release(placement->replica, number); });
     table.leave(number);
 }
 
@@ -38,16 +38,16 @@
     return explore([&] {
         auto scene = std::make_shared<Scene>();
         auto ticket = make_ticket(1);
-        scene->table.scheduler.burden.replicas.at("r0").entry.drain = true;  // nothing is placed at entry
+        scene->table.scheduler.load_table.replicas.at("r0").entry.drain = true;  // nothing is placed at entry
         scene->table.enter(
             ticket, std::nullopt, [] {}, 10, 0);
-        scene->table.scheduler.burden.replicas.at("r0").entry.drain = false;
+        scene->table.scheduler.load_table.replicas.at("r0").entry.drain = false;
         auto bodies = std::vector<std::function<void()>>{
             [scene, abandon] { abandon(scene->table, 1); },
             [scene] { scene->table.match(20, 0); },
             [scene] {
                 scene->table.with(
-                    [](Scheduler& scheduler) { scheduler.burden.take_report("r0", report_of(50'000), 15); });
+                    [](Scheduler& scheduler) { scheduler.load_table.take_report("r0", report_of(50'000), 15); });
             },
         };
         return std::pair(bodies, std::function<bool()>([scene] { return nothing_left(*scene, 0); }));
@@ -75,7 +75,7 @@
         auto scene = std::make_shared<Scene>();
         auto& table = scene->table;
         for (auto number = std::uint64_t{100}; number < 105; ++number)
-            table.scheduler.burden.place("r0", make_ticket(number), 1, 1);  // full: 5 of 4 x 1
+            table.scheduler.load_table.place("r0", make_ticket(number), 1, 1);  // full: 5 of 4 x 1
         auto const one = [scene](std::uint64_t number) {
             scene->table.enter(
                 make_ticket(number), std::nullopt, [scene] { ++scene->woken; }, 10, 0);
--- a/tests/kept_connection_test.cpp
+++ b/tests/kept_connection_test.cpp
@@ -149,7 +149,7 @@
 TEST_CASE("no place to be had: the client is refused by its route's limit") {
     auto requests = 0;
     auto session = SessionWire(answering(requests), Kind{.timeout = 400 * one_millisecond});
-    session.wire.node->table.scheduler.burden.take_weights("life-1", "", true);  // it loads; nothing is sent there
+    session.wire.node->table.scheduler.load_table.take_weights("life-1", "", true);  // it loads; nothing is sent there
     auto const began = clock_now();
     session.say(post("first"));
     CHECK(session.hear("503 Service Unavailable"));
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -17,8 +17,8 @@
     fresh->rules = std::make_shared<Rules>();
     fresh->list.replicas.push_back({"replica", "127.0.0.1:1", "model", "area", 4, 1'000});
     node->snapshot = fresh;
-    node->table.scheduler.burden.take_list(fresh->list);
-    node->table.scheduler.burden.take_weights("replica", "", false);
+    node->table.scheduler.load_table.take_list(fresh->list);
+    node->table.scheduler.load_table.take_weights("replica", "", false);
     auto const now = clock_now();
     node->proven_at = now - 3 * one_second;  // older than the product's own limit
     auto course = RequestLifecycle();
--- a/tests/load_net.hpp
+++ b/tests/load_net.hpp
@@ -33,7 +33,7 @@
         random.state = seed;
         auto const list = make_granting(replicas, 8, 1'000'000);
         auto entries = ReplicaList();
-        for (auto const& [name, state] : list.burden.replicas) entries.replicas.push_back(state.entry);
+        for (auto const& [name, state] : list.load_table.replicas) entries.replicas.push_back(state.entry);
         for (auto index = std::size_t{0}; index < node_count; ++index) {
             auto& node = nodes.emplace_back();
             node.self.identity = node.table.self = "node-" + std::to_string(index);
--- a/tests/load_relay_test.cpp
+++ b/tests/load_relay_test.cpp
@@ -96,7 +96,7 @@
 
 TEST_CASE("relays: a late sum, one of another relay's numbers, and a damaged one change nothing") {
     auto scheduler = make_granting(2);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     table.relayed = true;
     auto const first = write_loads({{"r0", {3, 3, 10, 0, 0, 2}}});
     auto const second = write_loads({{"r0", {5, 5, 10, 0, 0, 2}}});
@@ -119,7 +119,7 @@
 
 TEST_CASE("relays: what a node has placed and no sum shows yet limits its last places") {
     auto scheduler = make_granting(1, 2);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     table.relayed = true;
     table.fleet_nodes = 30;
     auto const& state = table.replicas.at("r0");
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -12,7 +12,7 @@
     auto fresh = std::make_shared<Snapshot>(*node.snapshot.load());
     fresh->list.replicas.front().drain = drain;
     node.snapshot = fresh;
-    node.table.with([&](Scheduler& scheduler) { scheduler.burden.take_list(fresh->list); });
+    node.table.with([&](Scheduler& scheduler) { scheduler.load_table.take_list(fresh->list); });
 }
 
 // Between the step that sends and the moment its connection is there.
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -56,20 +56,20 @@
 
 TEST_CASE("an idle replica gets a prompt whose prefix a busy one keeps, unless the wait is short") {
     auto scheduler = make_by_work(2);
-    scheduler.burden.take_part("r0", 7, "w1", true);
-    scheduler.burden.take_weights("r0", "w1", false);
-    scheduler.burden.take_weights("r1", "w1", false);
-    scheduler.burden.take_part("r0", 7, "w1", true);
-    scheduler.burden.place("r0", make_ticket(50), 1, 5, 1'000);
+    scheduler.load_table.take_part("r0", 7, "w1", true);
+    scheduler.load_table.take_weights("r0", "w1", false);
+    scheduler.load_table.take_weights("r1", "w1", false);
+    scheduler.load_table.take_part("r0", 7, "w1", true);
+    scheduler.load_table.place("r0", make_ticket(50), 1, 5, 1'000);
     CHECK(placed_at(scheduler, long_prompt(1, 7, 8'000, 1'000), 10) == "r0");  // 1,000 tokens wait: less than a copy
-    scheduler.burden.place("r0", make_ticket(51), 1, 11, 9'000);
+    scheduler.load_table.place("r0", make_ticket(51), 1, 11, 9'000);
     CHECK(placed_at(scheduler, long_prompt(2, 7, 8'000, 1'000), 12) == "r1");
 }
 
 TEST_CASE("a prefix that nobody keeps is read first at one home, whichever node decides") {
     auto first = make_by_work(9);
     auto second = make_by_work(9);
-    second.burden.self = "another";
+    second.load_table.self = "another";
     for (auto part = std::uint64_t{1}; part < 20; ++part)
         CHECK(
             placed_at(first, long_prompt(part, part, 8'000, 100), 10) ==
@@ -80,34 +80,34 @@
     auto scheduler = make_by_work(1);
     enter(scheduler, long_prompt(1, 7, 8'000, 1'000), 10);
     auto const placement = match(scheduler, 10).placements.at(0);
-    auto const& state = scheduler.burden.replicas.at("r0");
+    auto const& state = scheduler.load_table.replicas.at("r0");
     CHECK(placement.tokens_to_read == 9'000);
-    CHECK(scheduler.burden.unread(state, 10) == 9'000);
+    CHECK(scheduler.load_table.unread(state, 10) == 9'000);
     scheduler.first_output(placement, long_prompt(1, 7, 8'000, 1'000), 100'000);
-    CHECK(scheduler.burden.unread(state, 20) == 0);
-    CHECK(scheduler.burden.running(state, 20) == 1);
-    scheduler.burden.release("r0", 1);
-    CHECK(scheduler.burden.unread(state, 30) == 0);
-    CHECK(scheduler.burden.running(state, 30) == 0);
+    CHECK(scheduler.load_table.unread(state, 20) == 0);
+    CHECK(scheduler.load_table.running(state, 20) == 1);
+    scheduler.load_table.release("r0", 1);
+    CHECK(scheduler.load_table.unread(state, 30) == 0);
+    CHECK(scheduler.load_table.running(state, 30) == 0);
 }
 
 TEST_CASE("work placed by other nodes counts, told by digests and through relays") {
     auto teller = make_by_work(2);
-    teller.burden.self = "teller";
-    teller.burden.place("r0", make_ticket(1), 1, 10, 6'400);
+    teller.load_table.self = "teller";
+    teller.load_table.place("r0", make_ticket(1), 1, 10, 6'400);
     auto hearer = make_by_work(2);
-    hearer.burden.take_digest("teller", 1, teller.burden.make_digest(20), 20);
-    CHECK(hearer.burden.unread(hearer.burden.replicas.at("r0"), 30) == 6'400);
+    hearer.load_table.take_digest("teller", 1, teller.load_table.make_digest(20), 20);
+    CHECK(hearer.load_table.unread(hearer.load_table.replicas.at("r0"), 30) == 6'400);
     auto summed = make_by_work(2);
-    summed.burden.relayed = true;
-    auto const told = teller.burden.make_told(5, 20);
-    summed.burden.take_sum("relay", LoadSumUpdate{1, 0, 0, 0, 1, told}, 30);
-    CHECK(summed.burden.unread(summed.burden.replicas.at("r0"), 40) == 6'400);
+    summed.load_table.relayed = true;
+    auto const told = teller.load_table.make_told(5, 20);
+    summed.load_table.take_sum("relay", LoadSumUpdate{1, 0, 0, 0, 1, told}, 30);
+    CHECK(summed.load_table.unread(summed.load_table.replicas.at("r0"), 40) == 6'400);
 }
 
 TEST_CASE("a mostly idle small service is open to every node of a large fleet") {
     auto scheduler = make_granting(3, 6);
-    auto& table = scheduler.burden;
+    auto& table = scheduler.load_table;
     for (auto node = 0; node < 72; ++node)
         table.take_digest(
             "node" + std::to_string(node), 1,
--- a/tests/refusal_wire_test.cpp
+++ b/tests/refusal_wire_test.cpp
@@ -18,12 +18,12 @@
         node.snapshot = fresh;
         node.started_at = clock_now() - 60 * one_second;
     };
-    auto const loading = [](Node& node) { node.table.scheduler.burden.take_weights("life-1", "", true); };
+    auto const loading = [](Node& node) { node.table.scheduler.load_table.take_weights("life-1", "", true); };
     auto const no_replica = [](Node& node) {
         auto fresh = std::make_shared<Snapshot>(*node.snapshot.load());
         fresh->list.replicas.clear();
         node.snapshot = fresh;
-        node.table.scheduler.burden.take_list(fresh->list);
+        node.table.scheduler.load_table.take_list(fresh->list);
     };
     for (auto const& item : std::vector<Case>{
              {"no configuration", no_rules, false},
--- a/tests/session_wire.hpp
+++ b/tests/session_wire.hpp
@@ -41,9 +41,9 @@
             fresh->list.replicas.push_back(
                 {"life-" + std::to_string(number), address, "s", "area", kind.places, 1'000'000});
         node.snapshot = fresh;
-        node.table.scheduler.burden.take_list(fresh->list);
+        node.table.scheduler.load_table.take_list(fresh->list);
         for (auto const& replica : fresh->list.replicas)
-            node.table.scheduler.burden.take_weights(replica.name, "", false);
+            node.table.scheduler.load_table.take_weights(replica.name, "", false);
         wire.client.non_blocking(true);
         asio::co_spawn(wire.context, tick(), asio::detached);
         asio::co_spawn(wire.context, wire.session->serve(), [this](std::exception_ptr) { end(); });
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -50,8 +50,8 @@
 auto Fleet::started(std::size_t index) -> void {
     auto& plane = planes[index] = DataPlane();
     auto& control = world.nodes[index]->control;
-    plane.scheduler.options = plane.scheduler.burden.options = options.scheduler;
-    plane.scheduler.burden.self = control.membership.self.identity;
+    plane.scheduler.options = plane.scheduler.load_table.options = options.scheduler;
+    plane.scheduler.load_table.self = control.membership.self.identity;
     control.settings.load_relays_from = options.load_relays_from;
     if (options.planted_free_tries) plane.scheduler.budget = {1e9, 1e9, 0.2};
     for (auto partition = std::size_t{0}; partition < partition_count; ++partition)
@@ -61,9 +61,9 @@
 
 auto Fleet::output(std::size_t index, ControlOutput const& given) -> void {
     for (auto const& [node, digest] : given.digests)
-        planes[index].scheduler.burden.take_digest(node, digest.number, digest.body, local(index));
+        planes[index].scheduler.load_table.take_digest(node, digest.number, digest.body, local(index));
     for (auto const& [relay, sum] : given.load_sums)
-        planes[index].scheduler.burden.take_sum(
+        planes[index].scheduler.load_table.take_sum(
             relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, local(index));
     if (given.news) publish(index);
 }
@@ -71,7 +71,7 @@
 auto Fleet::publish(std::size_t index) -> void {
     auto& plane = planes[index];
     plane.snapshot = make_snapshot(world.nodes[index]->control, *plane.snapshot);
-    plane.scheduler.burden.take_list(plane.snapshot->list);
+    plane.scheduler.load_table.take_list(plane.snapshot->list);
     auto const length = plane.snapshot->rules->checked.configuration.limits.buffer_length;
     plane.scheduler.buffer_length = static_cast<std::size_t>(length);
     match(index);
@@ -100,20 +100,22 @@
 auto Fleet::tell_digest(std::size_t index) -> void {
     auto& plane = planes[index];
     auto& control = world.nodes[index]->control;
-    auto& burden = plane.scheduler.burden;
+    auto& load_table = plane.scheduler.load_table;
     auto const now = local(index);
     auto const number = static_cast<std::uint64_t>(now);
-    burden.relayed = control.judge_load_relays();
-    burden.fleet_nodes = control.nodes_placing();
-    if (burden.relayed != plane.load_relayed) {  // an empty last word goes the old way
-        plane.load_relayed = burden.relayed;
+    load_table.relayed = control.judge_load_relays();
+    load_table.fleet_nodes = control.nodes_placing();
+    if (load_table.relayed != plane.load_relayed) {  // an empty last word goes the old way
+        plane.load_relayed = load_table.relayed;
         world.act(
             index,
-            burden.relayed ? control.digest("{}", number, {}) : control.tell_load(now, number, write_loads({}), "", 0));
+            load_table.relayed ? control.digest("{}", number, {})
+                               : control.tell_load(now, number, write_loads({}), "", 0));
     }
-    if (!burden.relayed) return world.act(index, control.digest(burden.make_digest(now), number, {}));
-    auto body = burden.make_told(number, now);
-    world.act(index, control.tell_load(now, number, std::move(body), burden.summed.relay, burden.summed.number));
+    if (!load_table.relayed) return world.act(index, control.digest(load_table.make_digest(now), number, {}));
+    auto body = load_table.make_told(number, now);
+    world.act(
+        index, control.tell_load(now, number, std::move(body), load_table.summed.relay, load_table.summed.number));
 }
 
 // The platform's list is half a second old when it is read.
@@ -151,7 +153,7 @@
         if (!replica->up) {
             later(link(), [this, index, life, name] {
                 world.on_node(index, life, [this, index, name] {
-                    planes[index].scheduler.burden.report_failed(name, local(index));
+                    planes[index].scheduler.load_table.report_failed(name, local(index));
                 });
             });
             continue;
@@ -160,7 +162,7 @@
         later(wait, [this, index, life, name, asked_at, report = replica->report()] {
             world.on_node(index, life, [this, index, name, asked_at, report] {
                 planes[index].reports[name] = report;
-                planes[index].scheduler.burden.take_report(name, report, asked_at);
+                planes[index].scheduler.load_table.take_report(name, report, asked_at);
                 match(index);
             });
         });
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -48,7 +48,7 @@
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
     auto& course = found->second.course;
-    if (!step.give_back.empty()) plane.scheduler.burden.release(step.give_back, number);
+    if (!step.give_back.empty()) plane.scheduler.load_table.release(step.give_back, number);
     auto const ticket = claim_ticket(world.nodes[index]->control.membership.self.identity, number);
     auto const part = partition_of_service(course.ticket.body.model);
     if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(course.ticket), ticket, true}, {});
@@ -119,7 +119,7 @@
             world.on_node(index, life, [this, index, placement] {
                 auto const found = planes[index].courses.find(placement.ticket);
                 if (found == planes[index].courses.end())
-                    return planes[index].scheduler.burden.release(placement.replica, placement.ticket);
+                    return planes[index].scheduler.load_table.release(placement.replica, placement.ticket);
                 drive(index, placement.ticket, found->second.course.placed(placement, facts(index, placement.replica)));
             });
         });
@@ -165,8 +165,8 @@
     auto& course = found->second.course;
     auto const now = local(index);
     plane.scheduler.finished(replica, course.ticket, now - course.ticket.arrived_at, now, end == TryEnd::answered);
-    if (end == TryEnd::not_sent) plane.scheduler.burden.report_failed(replica, now);
-    if (end == TryEnd::did_not_run) plane.scheduler.burden.refused(replica, reason, now);
+    if (end == TryEnd::not_sent) plane.scheduler.load_table.report_failed(replica, now);
+    if (end == TryEnd::did_not_run) plane.scheduler.load_table.refused(replica, reason, now);
     auto step = course.ended(end, reason);
     if (options.planted_repeat_unknown && step.step == Step::answer_unknown) {
         step.step = Step::enter;
--- a/tests/unreadable_request_test.cpp
+++ b/tests/unreadable_request_test.cpp
@@ -66,8 +66,8 @@
     fresh->list.replicas.push_back(fresh->list.replicas.front());
     fresh->list.replicas.back().name = "life-2";
     node.snapshot = fresh;
-    node.table.scheduler.burden.take_list(fresh->list);
-    for (auto const* name : {"life-1", "life-2"}) node.table.scheduler.burden.take_weights(name, "", false);
+    node.table.scheduler.load_table.take_list(fresh->list);
+    for (auto const* name : {"life-1", "life-2"}) node.table.scheduler.load_table.take_weights(name, "", false);
 }
 
 }  // namespace
