--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -114,7 +114,7 @@
         };
         auto const fetched = number("Fetched-Tokens");
         auto const took = number("Fetch-Microseconds");
-        node.counters.kept_tokens += static_cast<std::uint64_t>(std::max<std::int64_t>(0, number("Kept-Tokens")));
+        node.counters.cached_tokens += static_cast<std::uint64_t>(std::max<std::int64_t>(0, number("Kept-Tokens")));
         node.counters.prefix_tokens += static_cast<std::uint64_t>(ticket.prefix_tokens);
         if (took > 0) {  // measured link speed, for the fetch planner (design 9.7)
             auto const guard = std::lock_guard(node.table.lock);
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -42,7 +42,7 @@
     line("did_not_run_total", counters.did_not_run.load());
     line("connect_failures_total", counters.connect_failures.load());
     line("prefix_tokens_total", counters.prefix_tokens.load());
-    line("kept_tokens_total", counters.kept_tokens.load());
+    line("kept_tokens_total", counters.cached_tokens.load());
     line("fetched_tokens_total", counters.fetched_tokens.load());
     line("fetches_total", counters.fetches.load());
     line("claims_granted_total", counters.claims_granted.load());
--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -32,7 +32,7 @@
     line["outcome"] = trace.outcome;
     line["replica"] = placement.replica;
     line["weights"] = placement.weights;
-    line["kept_tokens"] = placement.kept_tokens;
+    line["kept_tokens"] = placement.cached_tokens;
     line["best_kept_tokens"] = placement.best_kept;
     line["moved_tokens"] = placement.fetch.tokens;
     line["tokens_to_read"] = placement.tokens_to_read;
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -69,7 +69,7 @@
     for (auto const* candidate : found) {
         auto const& state = *candidate;
         auto const running = load_table.running(state, now) + load_table.reserve(state, now);
-        auto const kept = load_table.kept_tokens(state, ticket);
+        auto const kept = load_table.cached_tokens(state, ticket);
         auto const hash = hash_text(state.entry.name, seed);
         auto better = best == nullptr;
         if (!better) {
@@ -93,7 +93,7 @@
     for (auto const* state : load_table.pool(ticket.body.model)) {
         if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
             continue;
-        runs.replicas = std::max(runs.replicas, load_table.kept_tokens(*state, ticket));
+        runs.replicas = std::max(runs.replicas, load_table.cached_tokens(*state, ticket));
     }
     for (auto const& [name, store] : stores) {
         if (!store.up || !options.store_reads) continue;
@@ -130,7 +130,7 @@
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
-        view.kept = load_table.kept_tokens(*state, ticket);
+        view.kept = load_table.cached_tokens(*state, ticket);
         auto const& runs = runs_for(state->weights_mark);
         view.outstanding = load_table.unread(*state, now);
         view.best_kept = runs.replicas;
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -51,7 +51,7 @@
     if (!ticket.body.weights.empty() && ticket.body.weights != state.report->weights) return Filter::weights;
     if (state.entry.capacity < ticket.body.slots) return Filter::capacity;
     if (now < state.paused_until || !has_room(state, now)) return Filter::busy;
-    auto const needed = ticket.declared() - kept_tokens(state, ticket);
+    auto const needed = ticket.declared() - cached_tokens(state, ticket);
     if (free_memory(state, now) < needed) return Filter::memory;
     return Filter::passed;
 }
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -39,7 +39,7 @@
         auto const& state = *peer;
         if (peer == &target || state.unreachable || !state.report) continue;
         if (state.report->weights != target.report->weights) continue;
-        weigh(state.entry.address, load_table.kept_tokens(state, ticket) - kept);
+        weigh(state.entry.address, load_table.cached_tokens(state, ticket) - kept);
     }
     if (best.source.empty() && !store_address.empty()) weigh(store_address, ticket.prefix_tokens - kept);
     return best;
@@ -62,7 +62,7 @@
         auto const& state = *peer;
         if (!options.peer_moves || peer == &target || state.unreachable) continue;
         if (state.weights_mark != target.weights_mark || !state.report || state.report->changing) continue;
-        weigh(state.entry.address, state.entry.area, load_table.kept_tokens(state, ticket));
+        weigh(state.entry.address, state.entry.area, load_table.cached_tokens(state, ticket));
     }
     auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last is its own
     auto shared_tokens = std::int64_t{0};
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -159,7 +159,7 @@
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.parts.clear();
 }
 
-auto ReplicaLoadTable::kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
+auto ReplicaLoadTable::cached_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
     if (ticket.parts_alone) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -201,7 +201,7 @@
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto kept_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t;
+    auto cached_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t;
     auto check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter;
     auto check_apart_from_health(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const
         -> Filter;
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -107,17 +107,17 @@
     auto const& ticket = waiting.ticket;
     auto placement = Placement{
         ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
-    placement.kept_tokens = load_table.kept_tokens(state, ticket);
-    placement.fetch = ticket.parts_alone ? plan_parts(state, ticket, placement.kept_tokens, now)
-                                         : plan_fetch(state, ticket, placement.kept_tokens, now);
+    placement.cached_tokens = load_table.cached_tokens(state, ticket);
+    placement.fetch = ticket.parts_alone ? plan_parts(state, ticket, placement.cached_tokens, now)
+                                         : plan_fetch(state, ticket, placement.cached_tokens, now);
     placement.tokens_to_read = std::max<std::int64_t>(
-        0, ticket.prompt_tokens + ticket.prefix_tokens - placement.kept_tokens - placement.fetch.tokens);
+        0, ticket.prompt_tokens + ticket.prefix_tokens - placement.cached_tokens - placement.fetch.tokens);
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
     placement.outstanding = load_table.unread(state, now);
     placement.running = load_table.running(state, now);
     placement.best_kept = kept_runs(ticket, state.weights_mark).replicas;
     placement.held_by = waiting.held_by;
-    auto const memory = ticket.declared() - placement.kept_tokens;
+    auto const memory = ticket.declared() - placement.cached_tokens;
     load_table.place(placement.replica, ticket, memory, now, placement.tokens_to_read);
     auto& used = usage[ticket.tenant_path];
     used = {
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -35,7 +35,7 @@
     std::string address;
     std::string weights;
     std::string incarnation;
-    std::int64_t kept_tokens = 0;
+    std::int64_t cached_tokens = 0;
     FetchPlan fetch;
     // What was known when it was chosen, for logs and estimates.
     std::int64_t tokens_to_read = 0;  // of its prompt: neither kept there nor moved
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -76,7 +76,7 @@
     CHECK(result.answered + result.unknown == result.tickets);  // unknown: asked for through two nodes at once
     CHECK(result.shed == 0);
     CHECK(result.extra_tries == 0);
-    CHECK(result.kept_tokens > 0);
+    CHECK(result.cached_tokens > 0);
 }
 
 TEST_CASE("with load through relays the fleet keeps every rule, and answers all in calm") {
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -72,7 +72,7 @@
     enqueue(scheduler, with_prefix(make_ticket(2), {7}, 50), 30);
     auto const placed = match(scheduler, 30).placements.at(0);
     CHECK(placed.replica == "r2");
-    CHECK(placed.kept_tokens == 50);
+    CHECK(placed.cached_tokens == 50);
 }
 
 TEST_CASE("gapped prefix events and other weights count for nothing") {
@@ -84,21 +84,21 @@
     report.events = {{0, "kept", "7"}, {1, "kept", "8"}};
     report.next_event = 2;
     table.take_report("r0", report, 10);
-    CHECK(table.kept_tokens(state, ticket) == 100);
+    CHECK(table.cached_tokens(state, ticket) == 100);
     auto gapped = report_of(1'000);
     gapped.first_event = 9;
     gapped.next_event = 10;
     gapped.events = {{9, "kept", "8"}};
     table.take_report("r0", gapped, 20);
-    CHECK(table.kept_tokens(state, ticket) == 100);  // chain 8 is a leading run of both parts, told after the gap
+    CHECK(table.cached_tokens(state, ticket) == 100);  // chain 8 is a leading run of both parts, told after the gap
     auto cleared = report_of(1'000, "w2");
     cleared.first_event = cleared.next_event = 10;
     table.take_report("r0", cleared, 30);
-    CHECK(table.kept_tokens(state, ticket) == 0);
+    CHECK(table.cached_tokens(state, ticket) == 0);
     auto late = report_of(1'000);
     late.events = {{11, "kept", "7"}};
     table.take_report("r0", late, 25);  // older than what is known: not taken
-    CHECK(table.kept_tokens(state, ticket) == 0);
+    CHECK(table.cached_tokens(state, ticket) == 0);
 }
 
 TEST_CASE("a tenant of light use moves forward, within bounds") {
--- a/tests/hollow/slopes.cpp
+++ b/tests/hollow/slopes.cpp
@@ -124,7 +124,8 @@
     for (auto count = 0; count < rounds; ++count) {
         auto const request = request_of(shape, 1, random);
         auto const watch = Stopwatch(looking, measured_account);
-        for (auto const& [name, state] : measured.load_table.replicas) measured.load_table.kept_tokens(state, request);
+        for (auto const& [name, state] : measured.load_table.replicas)
+            measured.load_table.cached_tokens(state, request);
     }
     run.figures["lookup_nanoseconds"] = static_cast<double>(looking) / rounds / static_cast<double>(replicas);
     return run;
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -46,7 +46,7 @@
     std::size_t runs = 0, refused = 0, orders = 0, old_orders_refused = 0, faults = 0, changes = 0, acknowledged = 0;
     std::size_t revoked = 0, drained = 0, roll_outs = 0, walls_tightened = 0, polite_stops = 0;
     std::uint64_t extra_tries = 0, events = 0;
-    std::int64_t kept_tokens = 0, prefix_tokens = 0;
+    std::int64_t cached_tokens = 0, prefix_tokens = 0;
     std::map<std::string, std::vector<Microseconds>> waits;  // to the first piece, by kind and by tenant
     std::map<std::string, std::size_t> shed_by;              // the same, of those shed
     std::vector<std::string> trace;
--- a/tests/simulation/fleet_replicas.cpp
+++ b/tests/simulation/fleet_replicas.cpp
@@ -30,7 +30,7 @@
     ++asking.runs;
     auto const run = next_run++;
     ++result.runs;
-    result.kept_tokens += kept;
+    result.cached_tokens += kept;
     result.prefix_tokens += ticket.prefix_tokens;
     if (asking.outcome == "shed") violation("a shed ticket ran");
     if (asking.run_once) {
--- a/tests/simulation/placement.cpp
+++ b/tests/simulation/placement.cpp
@@ -75,7 +75,7 @@
     each("refused", [](auto const& result) { return result.refused; });
     each("extra", [](auto const& result) { return result.extra_tries; });
     each("kept%", [](auto const& result) {
-        return result.prefix_tokens == 0 ? 0 : 100 * result.kept_tokens / result.prefix_tokens;
+        return result.prefix_tokens == 0 ? 0 : 100 * result.cached_tokens / result.prefix_tokens;
     });
     each("violations", [](auto const& result) { return result.violations.size(); });
     std::printf("\n");
--- a/tests/stand_ins/replica.hpp
+++ b/tests/stand_ins/replica.hpp
@@ -27,7 +27,7 @@
     std::string weights;
     bool changing = false;
     std::uint64_t fence = 0;
-    std::int64_t queued_slots = 0, active_slots = 0, used_memory = 0, kept_tokens = 0;
+    std::int64_t queued_slots = 0, active_slots = 0, used_memory = 0, cached_tokens = 0;
     std::map<std::uint64_t, Kept> kept;
     std::deque<std::uint64_t> kept_order;
     std::set<std::string> seen;
@@ -51,14 +51,14 @@
     auto free_memory() const -> std::int64_t { return options.memory - used_memory; }
     auto keep(std::uint64_t chain, Kept item) -> void {
         if (kept.contains(chain)) return;
-        while (kept_tokens + item.tokens > options.memory / 2 && !kept_order.empty()) {
+        while (cached_tokens + item.tokens > options.memory / 2 && !kept_order.empty()) {
             auto const oldest = kept_order.front();
             kept_order.pop_front();
-            kept_tokens -= kept[oldest].tokens;
+            cached_tokens -= kept[oldest].tokens;
             kept.erase(oldest);
             tell("dropped", oldest);
         }
-        kept_tokens += item.tokens;
+        cached_tokens += item.tokens;
         kept[chain] = std::move(item);
         kept_order.push_back(chain);
         tell("kept", chain);
@@ -81,7 +81,7 @@
     weights = wanted;
     kept.clear();
     kept_order.clear();
-    kept_tokens = 0;
+    cached_tokens = 0;
     tell("cleared", 0);
     changing = false;
     record.write(fields("event", "weights", "weights", weights));
