--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -88,10 +88,10 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_mark) const -> CachedPrefixes {
-    auto runs = CachedPrefixes{weights_mark};
+auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes {
+    auto runs = CachedPrefixes{weights_hash};
     for (auto const* state : load_table.pool(ticket.body.model)) {
-        if (state->weights_mark != weights_mark || state->unreachable || !state->report || state->report->changing)
+        if (state->weights_hash != weights_hash || state->unreachable || !state->report || state->report->changing)
             continue;
         runs.replicas = std::max(runs.replicas, load_table.cached_tokens(*state, ticket));
     }
@@ -99,7 +99,7 @@
         if (!store.up || !options.store_reads) continue;
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index + 1 < ticket.chain.size(); ++index) {
-            if (!store.parts.contains(ticket.chain[index] ^ weights_mark)) break;
+            if (!store.parts.contains(ticket.chain[index] ^ weights_hash)) break;
             tokens += ticket.body.prefix[index].tokens;
         }
         runs.stores = std::max(runs.stores, tokens);
@@ -121,7 +121,7 @@
     std::vector<CachedPrefixes> known;
     auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
         for (auto const& runs : known)
-            if (runs.weights_mark == mark) return runs;
+            if (runs.weights_hash == mark) return runs;
         return known.emplace_back(kept_runs(ticket, mark));
     };
     auto view = PlacementView();
@@ -131,7 +131,7 @@
     auto best_work = 0.0;
     for (auto const* state : found) {
         view.kept = load_table.cached_tokens(*state, ticket);
-        auto const& runs = runs_for(state->weights_mark);
+        auto const& runs = runs_for(state->weights_hash);
         view.outstanding = load_table.unread(*state, now);
         view.best_kept = runs.replicas;
         view.movable = std::max(options.peer_moves ? runs.replicas : 0, runs.stores);
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -61,7 +61,7 @@
     for (auto const* peer : load_table.pool(ticket.body.model)) {
         auto const& state = *peer;
         if (!options.peer_moves || peer == &target || state.unreachable) continue;
-        if (state.weights_mark != target.weights_mark || !state.report || state.report->changing) continue;
+        if (state.weights_hash != target.weights_hash || !state.report || state.report->changing) continue;
         weigh(state.entry.address, state.entry.area, load_table.cached_tokens(state, ticket));
     }
     auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last is its own
@@ -74,12 +74,12 @@
         if (!store.up) continue;
         auto tokens = std::int64_t{0};
         auto count = std::size_t{0};
-        while (count < shared && store.parts.contains(ticket.chain[count] ^ target.weights_mark))
+        while (count < shared && store.parts.contains(ticket.chain[count] ^ target.weights_hash))
             tokens += ticket.body.prefix[count++].tokens;
         if (options.store_reads) weigh(store.address, store.area, tokens);
         if (!options.store_writes || count == shared || !worth_saving) continue;
         std::erase_if(store.saving, [&](auto const& item) { return now - item.second > options.saving_memory; });
-        if (store.saving.emplace(ticket.chain[shared - 1] ^ target.weights_mark, now).second)
+        if (store.saving.emplace(ticket.chain[shared - 1] ^ target.weights_hash, now).second)
             best.save_at = store.address;
     }
     best.tokens = std::max<std::int64_t>(0, best.tokens - kept);
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -147,12 +147,12 @@
         found->second.outcomes.push_back({now, failed});
 }
 
-auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept)
+auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool kept)
     -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
-    if (kept) found->second.parts[part ^ weights_mark] = weights_mark;
-    else found->second.parts.erase(part ^ weights_mark);
+    if (kept) found->second.parts[part ^ weights_hash] = weights_hash;
+    else found->second.parts.erase(part ^ weights_hash);
 }
 
 auto ReplicaLoadTable::forget_parts(std::string const& name) -> void {
@@ -163,7 +163,7 @@
     if (ticket.parts_alone) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
-            if (!state.parts.contains(ticket.chain[index] ^ state.weights_mark)) break;
+            if (!state.parts.contains(ticket.chain[index] ^ state.weights_hash)) break;
             tokens += ticket.body.prefix[index].tokens;
         }
         return tokens;
@@ -184,8 +184,8 @@
     if (found == replicas.end()) return;
     auto& state = found->second;
     if (!state.report || state.report->weights != weights) {
-        state.weights_mark = hash_text(weights);
-        std::erase_if(state.parts, [&](auto const& item) { return item.second != state.weights_mark; });
+        state.weights_hash = hash_text(weights);
+        std::erase_if(state.parts, [&](auto const& item) { return item.second != state.weights_hash; });
         state.report = ReplicaReport{};
         state.report->incarnation = name;
         state.report->weights = weights;
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -91,7 +91,7 @@
     std::set<std::uint64_t> kept;  // prefix chains, under the reported weights
     bool kept_unsure = true;
     std::unordered_map<std::uint64_t, std::uint64_t> parts;  // kept single parts, by part and weights -> weights
-    std::uint64_t weights_mark = 0;                          // hash of the weights it holds now
+    std::uint64_t weights_hash = 0;                          // hash of the weights it holds now
     std::uint64_t next_event = 0;
 
     // What other nodes' digests say of this replica, kept here so that no
@@ -180,7 +180,7 @@
     auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool kept) -> void {
         take_part(name, part, hash_text(weights), kept);
     }
-    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept) -> void;
+    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool kept) -> void;
     auto forget_parts(std::string const& name) -> void;
     auto report_failed(std::string const& name, Microseconds now) -> void;
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
