--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -61,7 +61,7 @@
         }
         in_control([this, sender = std::move(frame.sender), address = std::move(frame.sender_address),
                     message = std::move(*message)] {  // not the frame's text, which is as large once more
-            act_on(control.receive(clock_now(), sender, address, message));
+            apply_output(control.receive(clock_now(), sender, address, message));
         });
     });
     if (!problem.empty()) return leaf::new_error(StartFailure{"cannot hear other nodes: " + problem});
@@ -81,7 +81,7 @@
     ticket_works[next_ticket_work++ % ticket_works.size()].put(std::move(work));
 }
 
-auto Node::act_on(ControlOutput output) -> void {
+auto Node::apply_output(ControlOutput output) -> void {
     auto const now = clock_now();
     for (auto const& send : output.sends) {
         auto const frame = Frame{
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -114,7 +114,7 @@
     auto run() -> void;
     auto interpret_in_turn(Work work) -> void;
     auto in_control(Work work) -> void { control_work.put(std::move(work)); }
-    auto act_on(ControlOutput output) -> void;
+    auto apply_output(ControlOutput output) -> void;
     auto publish_snapshot() -> void;
     auto take_scheduling_options(SchedulingOptions options) -> void;
     auto relay_changes() -> void;                              // how a relaying fleet's documents change
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -135,7 +135,7 @@
     std::vector<std::uint64_t> tokens;
     for (auto const& save : batch) tokens.push_back(save.token);
     in_control([this, good, tokens = std::move(tokens)] {
-        for (auto token : tokens) act_on(control.saved(clock_now(), token, good));
+        for (auto token : tokens) apply_output(control.saved(clock_now(), token, good));
     });
 }
 
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -88,7 +88,7 @@
             *wanted = false;
             if (reading) list_pace.good(reading->pages);
             else list_pace.failed(view(now), now, control.random);
-            if (reading) act_on(control.list_read(now, asked_at, reading->text));
+            if (reading) apply_output(control.list_read(now, asked_at, reading->text));
             *done = true;
         });
         while (!done->load() && !finished) co_await pause(5 * one_millisecond);
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -15,8 +15,8 @@
     auto const held = load_table.summed.number;
     guard.unlock();
     in_control([this, now, number, relayed, body = std::move(body), relay = std::move(relay), held] {
-        if (relayed) act_on(control.tell_load(now, number, body, relay, held));
-        else act_on(control.digest(body, number, snapshot.load()->resting));
+        if (relayed) apply_output(control.tell_load(now, number, body, relay, held));
+        else apply_output(control.digest(body, number, snapshot.load()->resting));
     });
 }
 
@@ -34,8 +34,8 @@
     load_relayed = relayed;
     write_log(Level::information, "load-relays", fields("used", relayed, "nodes", nodes));
     auto const number = static_cast<std::uint64_t>(now);
-    if (relayed) act_on(control.digest("{}", number, snapshot.load()->resting));
-    else act_on(control.tell_load(now, number, write_loads({}), "", 0));
+    if (relayed) apply_output(control.digest("{}", number, snapshot.load()->resting));
+    else apply_output(control.tell_load(now, number, write_loads({}), "", 0));
 }
 
 }  // namespace dockrock
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -45,7 +45,8 @@
         }
         ++counters.list_reads;
         if (!same) last_good = answer.body;
-        in_control([this, asked_at, text = answer.body] { act_on(control.list_read(clock_now(), asked_at, text)); });
+        in_control(
+            [this, asked_at, text = answer.body] { apply_output(control.list_read(clock_now(), asked_at, text)); });
     }
 }
 
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -18,7 +18,7 @@
 
 auto Node::tick_control() -> void {
     auto const now = clock_now();
-    act_on(control.tick(now));
+    apply_output(control.tick(now));
     log_parts(now);
     log_disk(now);
     judge_resting(now);
@@ -84,7 +84,7 @@
     in_control([this, call = std::move(call), done = std::move(done)] {
         auto const token = control.random.next() | 1U;
         call_waiters[token] = done;
-        act_on(control.call(clock_now(), token, call));
+        apply_output(control.call(clock_now(), token, call));
     });
 }
 
@@ -99,7 +99,7 @@
         auto const token = control.random.next() | 1U;
         call_waiters[token] = done;
         write_log(Level::warning, "form-anew-ordered", {});
-        act_on(control.form_anew(clock_now(), token));
+        apply_output(control.form_anew(clock_now(), token));
     });
 }
 
@@ -110,7 +110,7 @@
         ask.ticket = claim_ticket(control.membership.self.identity, number);
         auto const token = control.random.next() | 1U;
         if (done) claim_waiters[token] = std::move(done);
-        act_on(control.claim(clock_now(), token, ask));
+        apply_output(control.claim(clock_now(), token, ask));
     });
 }
 
@@ -154,7 +154,7 @@
         if (duties->load()) {
             in_control([this, duties, handing_limit] {
                 auto pending = false;
-                if (clock_now() < handing_limit) act_on(control.hand_over(clock_now(), pending));
+                if (clock_now() < handing_limit) apply_output(control.hand_over(clock_now(), pending));
                 *duties = pending;
             });
         }
@@ -165,7 +165,7 @@
     }
     closing = true;
     if (open_tickets > 0) write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_tickets.load()));
-    in_control([this] { act_on(control.leave()); });
+    in_control([this] { apply_output(control.leave()); });
     // The door is shut first; whoever was inside is still answered.
     asio::post(accept_strand, [this] {
         boost::system::error_code ignored;
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -136,7 +136,7 @@
     network.push_back({from.identity, item.identity, std::move(message), digest});
 }
 
-auto World::act_on(Node& node, Work const& work) -> void {
+auto World::apply_output(Node& node, Work const& work) -> void {
     auto random = random_for(setup, node);
     auto const cores = [this, &node] { return living(node); };
     auto const alive = [this, &node](std::string const& identity) {
@@ -176,7 +176,7 @@
 }
 
 auto World::act(std::size_t index, Work const& work) -> void {
-    change_node(index, [&](Node& node) { act_on(node, work); });
+    change_node(index, [&](Node& node) { apply_output(node, work); });
 }
 
 auto World::digest() const -> std::size_t {
--- a/tests/model/world.hpp
+++ b/tests/model/world.hpp
@@ -103,7 +103,7 @@
    private:
     using Work = std::function<void(Partition&, Context&)>;
     auto act(std::size_t index, Work const& work) -> void;
-    auto act_on(Node& node, Work const& work) -> void;
+    auto apply_output(Node& node, Work const& work) -> void;
     auto send(Node const& from, IdentifiedMessage&& item) -> void;
     auto answered(Node const& node, CallDone const& done) -> void;
     auto acknowledged(Node const& node, Call const& call, CallDone const& done) -> void;
--- a/tests/model/world_steps.cpp
+++ b/tests/model/world_steps.cpp
@@ -49,7 +49,7 @@
             node.disk_blank = false;
         }
         auto const ok = !node.disk_failing;
-        act_on(node, [&](Partition& partition, Context& context) { partition.saved(context, write.token, ok); });
+        apply_output(node, [&](Partition& partition, Context& context) { partition.saved(context, write.token, ok); });
     });
 }
 
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -81,7 +81,7 @@
     auto tick() -> awaitable<void> {
         auto timer = asio::steady_timer(co_await asio::this_coro::executor);
         while (true) {
-            if (ticks) node->in_control([this] { node->act_on(node->control.tick(clock_now())); });
+            if (ticks) node->in_control([this] { node->apply_output(node->control.tick(clock_now())); });
             timer.expires_after(std::chrono::milliseconds(25));
             co_await timer.async_wait(use_tuple);
         }
