--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -88,12 +88,12 @@
     if (claims.flown.empty() && !claims.whole_needed) return;
     for (auto const& key : claims.flown) claims.to_fly.erase(key);
     claims.whole_flies = claims.whole_needed;
-    claims.flight.clear();
-    if (claims.whole_needed) claims.flight = claims.whole(context.now, true);
+    claims.replication_batch.clear();
+    if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
     else
         for (auto const& key : claims.flown)
             if (auto const found = claims.held.find(key); found != claims.held.end())
-                claims.flight += write_claim(key, found->second, context.now);
+                claims.replication_batch += write_claim(key, found->second, context.now);
     claims.flying = true;
     claims.landed.clear();
     ++claims.flight_number;
@@ -106,7 +106,8 @@
     for (auto const& follower : votes.decided.followers)
         if (!claims.landed.contains(follower))
             context.sends.push_back(
-                {follower, ClaimReplication{index, votes.decided, claims.life, claims.flight_number, claims.flight}});
+                {follower,
+                 ClaimReplication{index, votes.decided, claims.life, claims.flight_number, claims.replication_batch}});
 }
 
 auto Partition::on(Context& context, std::string const& from, ClaimReplication const& message) -> void {
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -44,7 +44,7 @@
     bool whole_needed = true;  // an follower may lack some
     std::uint64_t flight_number = 0;
     Microseconds flown_at = 0;
-    std::string flight;
+    std::string replication_batch;
     struct Waiter {
         std::string origin;
         std::uint64_t token = 0;
--- a/tests/simulation/planted.cpp
+++ b/tests/simulation/planted.cpp
@@ -8,14 +8,17 @@
 auto World::planted(std::size_t index, AddressedMessage& send) -> bool {
     auto answer = std::optional<Message>();
     auto from = std::string();
-    if (auto const* flight = std::get_if<Append>(&send.message); flight != nullptr && options.planted_copy_short) {
-        from = flight->record.followers.back();
-        answer = Appended{flight->partition, flight->record.term, flight->copy.sequence};
+    if (auto const* replication_batch = std::get_if<Append>(&send.message);
+        replication_batch != nullptr && options.planted_copy_short) {
+        from = replication_batch->record.followers.back();
+        answer =
+            Appended{replication_batch->partition, replication_batch->record.term, replication_batch->copy.sequence};
     }
-    if (auto const* flight = std::get_if<AppendChange>(&send.message);
-        flight != nullptr && options.planted_copy_short) {
-        from = flight->record.followers.back();
-        answer = Appended{flight->partition, flight->record.term, flight->change.sequence};
+    if (auto const* replication_batch = std::get_if<AppendChange>(&send.message);
+        replication_batch != nullptr && options.planted_copy_short) {
+        from = replication_batch->record.followers.back();
+        answer =
+            Appended{replication_batch->partition, replication_batch->record.term, replication_batch->change.sequence};
     }
     if (auto const* offer = std::get_if<CopyOffer>(&send.message);
         offer != nullptr && options.planted_partner_not_given) {
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -70,12 +70,14 @@
         auto const target = index_of(send.address);
         if (auto const* spare = std::get_if<SpareOffer>(&send.message)) copy_bytes += spare->copy.document.size();
         if (auto const* spare = std::get_if<SpareChange>(&send.message)) copy_bytes += size_of(spare->change.edits);
-        if (auto const* flight = std::get_if<Append>(&send.message)) copy_bytes += flight->copy.document.size();
+        if (auto const* replication_batch = std::get_if<Append>(&send.message))
+            copy_bytes += replication_batch->copy.document.size();
         if (auto const* change = std::get_if<AppendChange>(&send.message)) copy_bytes += size_of(change->change.edits);
         if (auto const* offer = std::get_if<CopyOffer>(&send.message)) copy_bytes += offer->copy.document.size();
         if (options.planted_claims_not_copied) {
             if (auto* offer = std::get_if<CopyOffer>(&send.message)) offer->claims.clear();
-            if (auto* flight = std::get_if<ClaimReplication>(&send.message)) flight->claims.clear();
+            if (auto* replication_batch = std::get_if<ClaimReplication>(&send.message))
+                replication_batch->claims.clear();
         }
         if (options.planted_outcomes_lost) {
             if (auto* offer = std::get_if<CopyOffer>(&send.message)) offer->copy.outcomes.clear();
