--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -16,7 +16,8 @@
 auto put_note(LinkHeader const& note, std::string_view frame) -> std::string {
     std::string bytes;
     bytes.reserve(note_size + frame.size());
-    for (auto const number : {note.life, note.number, note.heard_life, note.heard_number}) put_number(bytes, number);
+    for (auto const number : {note.life, note.number, note.heard_instance, note.heard_number})
+        put_number(bytes, number);
     put_number(bytes, checksum_of(bytes));
     return bytes.append(frame);
 }
@@ -26,7 +27,7 @@
     auto head = bytes.substr(0, note_size);
     auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
     auto note = LinkHeader();
-    for (auto* number : {&note.life, &note.number, &note.heard_life, &note.heard_number})
+    for (auto* number : {&note.life, &note.number, &note.heard_instance, &note.heard_number})
         *number = take_number(head).value_or(0);
     if (take_number(head) != checksum) return std::nullopt;
     bytes.remove_prefix(note_size);
@@ -98,10 +99,10 @@
 
 // What is left of a former life may still come after the first words of the next.
 auto PeerLink::take_life(std::uint64_t life) -> void {
-    if (life == heard_life) return;
-    hangs = another_life = heard_life != 0 && last_number != 0;
-    former_lives[next_former++ % former_lives.size()] = heard_life;
-    heard_life = life;
+    if (life == heard_instance) return;
+    hangs = another_life = heard_instance != 0 && last_number != 0;
+    former_lives[next_former++ % former_lives.size()] = heard_instance;
+    heard_instance = life;
     heard_number = 0;
 }
 
@@ -114,12 +115,12 @@
 // present one is silent is the one that runs.
 auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.life_silence;
-    if (note.life != heard_life && is_former(note.life) && !silent) return;
+    if (note.life != heard_instance && is_former(note.life) && !silent) return;
     take_life(note.life);
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
     auto const least = waiting != 0 ? waiting : last_number;
-    if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
+    if (note.heard_instance == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
     missed(now);
 }
 
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -16,7 +16,7 @@
 struct LinkHeader {
     std::uint64_t life = 0;
     std::uint64_t number = 0;
-    std::uint64_t heard_life = 0;
+    std::uint64_t heard_instance = 0;
     std::uint64_t heard_number = 0;
 };
 
@@ -55,7 +55,7 @@
     bool last_stood = false;
     Microseconds missed_for = 0;  // its greatest age when the peer was heard without it, or doubted
     RoundTrip round_trip;
-    std::uint64_t heard_life = 0;
+    std::uint64_t heard_instance = 0;
     std::array<std::uint64_t, 4> former_lives{};  // the last ones, so that their late words are known as such
     std::size_t next_former = 0;
     Microseconds heard_at = 0;  // the present life
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -27,7 +27,7 @@
     CHECK(bytes == "frame");
     CHECK(taken->life == 1);
     CHECK(taken->number == 2);
-    CHECK(taken->heard_life == 3);
+    CHECK(taken->heard_instance == 3);
     CHECK(taken->heard_number == ~std::uint64_t{0});
     for (auto place = std::size_t{0}; place + bytes.size() < put.size(); ++place) {
         auto changed = put;
@@ -98,7 +98,7 @@
     CHECK(link.another_life);
     link.heard(note(6, 1), own_life, 3'000);  // what is left of the former life
     CHECK(link.hangs);
-    CHECK(link.heard_life == 10);
+    CHECK(link.heard_instance == 10);
     CHECK(link.heard_number == 1);
     link.dialled();
     link.sent(2, 0, 4'000);
@@ -212,11 +212,11 @@
     link.heard(note(5, 1), own_life, 1'000);
     link.heard(note(1, 0, present, 0), own_life, 2'000);
     link.heard(note(3, 0, between, 0), own_life, 3'000);
-    CHECK(link.heard_life == between);
+    CHECK(link.heard_instance == between);
     link.heard(note(2, 0, present, 0), own_life, 3'000 + one_second);  // not longer silent than that
-    CHECK(link.heard_life == between);
+    CHECK(link.heard_instance == between);
     link.heard(note(3, 0, present, 0), own_life, 3'001 + one_second);
-    CHECK(link.heard_life == present);
+    CHECK(link.heard_instance == present);
     CHECK(link.heard_number == 3);
     link.dialled();
     link.sent(2, 0, 2 * one_second);
@@ -233,7 +233,7 @@
     for (auto now = Microseconds{1'000}; now < 10 * one_second; now += 500 * one_millisecond) {
         link.heard(note(++number, 0, present), own_life, now);
         link.heard(note(5 + number, 0), own_life, now + 499 * one_millisecond);
-        CHECK(link.heard_life == present);
+        CHECK(link.heard_instance == present);
     }
 }
 
@@ -244,7 +244,7 @@
     for (auto const later : {0U, 1U, 2U}) link.heard(note(1, 0, their_life + later, 0), own_life, ++now);
     link.dialled();
     link.heard(note(2, 0, their_life, 0), own_life, ++now);  // two restarts ago
-    CHECK((link.heard_life == their_life + 2 && !link.hangs));
+    CHECK((link.heard_instance == their_life + 2 && !link.hangs));
     link.heard(note(2, 0, their_life, 0), own_life, now + 2 * one_second);  // all that is heard: it runs
-    CHECK(link.heard_life == their_life);
+    CHECK(link.heard_instance == their_life);
 }
