--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -33,7 +33,7 @@
         auto const asked_at = clock_now();
         auto const ask = form->list_call(next);
         ++counters.list_calls;
-        auto const answer = co_await connection.call(settings.platform_address, ask, list_pace.page_limit);
+        auto const answer = co_await connection.call(settings.platform_address, ask, list_polling.page_limit);
         if (answer.status == 429) ++counters.list_limited;
         auto page = answer.status == 200 ? form->read_list_page(answer.body) : std::nullopt;
         if (!page) co_return std::nullopt;
@@ -42,10 +42,10 @@
         if (page->next.empty()) break;
         auto const pages = static_cast<Microseconds>(reading.pages);
         auto const repeated = page->next == next;
-        if (repeated || clock_now() - began > 2 * list_pace.page_limit + pages * list_pace.call_gap())
+        if (repeated || clock_now() - began > 2 * list_polling.page_limit + pages * list_polling.call_gap())
             co_return std::nullopt;
         next = page->next;
-        co_await pause(std::max<Microseconds>(0, asked_at + list_pace.call_gap() - clock_now()));
+        co_await pause(std::max<Microseconds>(0, asked_at + list_polling.call_gap() - clock_now()));
     }
     if (reading.pages == most_pages) co_return std::nullopt;
     ReplicaList list;
@@ -56,14 +56,14 @@
 
 auto Node::relay_list_loop() -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
-    list_pace.bound(settings.bounds.drain, settings.platform_calls);
+    list_polling.bound(settings.bounds.drain, settings.platform_calls);
     auto wanted = std::make_shared<std::atomic<bool>>(false);
     auto const view = [this](Microseconds now) {
         ListView seen;
         seen.leader = control.leads(configuration_partition, now);
         seen.resting = control.resting;
         seen.list_at = control.news[configuration_partition].live_at;
-        if (!seen.leader && now - seen.list_at > list_pace.fallback)
+        if (!seen.leader && now - seen.list_at > list_polling.fallback)
             seen.members = control.membership.alive_members(false).size();
         return seen;
     };
@@ -72,8 +72,8 @@
         if (!wanted->load()) {
             in_control([this, wanted, view] {
                 auto const now = clock_now();
-                if (!list_pace.due(view(now), now, control.random)) return;
-                list_pace.began(now);
+                if (!list_polling.due(view(now), now, control.random)) return;
+                list_polling.began(now);
                 *wanted = true;
             });
             if (!wanted->load()) continue;
@@ -86,8 +86,8 @@
         in_control([this, wanted, done, view, asked_at, reading = std::move(reading)] {
             auto const now = clock_now();
             *wanted = false;
-            if (reading) list_pace.good(reading->pages);
-            else list_pace.failed(view(now), now, control.random);
+            if (reading) list_polling.good(reading->pages);
+            else list_polling.failed(view(now), now, control.random);
             if (reading) apply_output(control.list_read(now, asked_at, reading->text));
             *done = true;
         });
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -164,7 +164,7 @@
             node.control.partitions[part].apply =
                 part == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
         node.snapshot = empty_snapshot();
-        node.list_pace = ListPolling();
+        node.list_polling = ListPolling();
         node.load = LoadSource();
         if (requests) node.load.start(shape.load, list, node.identity, random.next());
     }
@@ -180,20 +180,20 @@
     ListView view;
     view.leader = node.control.leads(configuration_partition, now);
     view.list_at = node.control.news[configuration_partition].live_at;
-    if (!view.leader && now - view.list_at > node.list_pace.fallback)
+    if (!view.leader && now - view.list_at > node.list_polling.fallback)
         view.members = node.control.membership.alive_members(false).size();
-    if (node.list_pace.due(view, now, node.control.random)) read_list(node);
+    if (node.list_polling.due(view, now, node.control.random)) read_list(node);
     if (requests && !node.core && now - node.last_digest >= node.load.table.options.digest_interval) tell_load(node);
     auto const interval = (requests && !node.core ? 25 : node.core ? 50 : 100) * one_millisecond;
     at(now + interval, [this, index, life] { tick(index, life); });
 }
 
 auto HollowFleet::read_list(HollowNode& node) -> void {
-    node.list_pace.began(now);
+    node.list_polling.began(now);
     ++platform_calls;
     at(now + platform_answer, [this, &node, life = node.life, asked = now, text = list_text] {
         if (!node.running || node.life != life) return;
-        node.list_pace.good(1);
+        node.list_polling.good(1);
         act(node, [&] { return node.control.list_read(now, asked, text); });
     });
 }
--- a/tests/hollow/fleet.hpp
+++ b/tests/hollow/fleet.hpp
@@ -38,7 +38,7 @@
     std::uint64_t life = 0;
     Control control;
     SnapshotPointer snapshot;
-    ListPolling list_pace;
+    ListPolling list_polling;
     LoadSource load;
     Microseconds last_digest = 0;
     Traffic traffic;
