--- a/source/base/relay_messages.hpp
+++ b/source/base/relay_messages.hpp
@@ -36,7 +36,7 @@
     std::uint64_t next = 0;  // number of the first event after these
     bool anew = false;       // what it told before no longer holds
     std::vector<std::string> weights;
-    std::string changes;  // text of kept_feed
+    std::string changes;  // text of cache_feed
 };
 struct FeedAsk {
     std::uint64_t feed = 0;  // the log read before, and how far
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -62,7 +62,7 @@
     membership.self.knows_fleet = knows_fleet();
     blank_since = cores_since = now;
     load_relay.number = random.next() >> 12U;
-    kept_feed.id = random.next() | 1U;
+    cache_feed.id = random.next() | 1U;
 }
 
 auto Control::drain(Context& context, ControlOutput& output) -> void {
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -89,7 +89,7 @@
     LoadRelayChoice load_choice;
     Microseconds load_told_at = -3'600 * one_second;
     CacheFeedTimes kept_times;
-    CacheFeed kept_feed;
+    CacheFeed cache_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
     std::uint64_t news_bytes = 0;  // sent as news of documents, and what whole ones would have been
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -12,13 +12,13 @@
 }
 
 auto Control::kept_read(CacheBatch batch) -> void {
-    auto const known = kept_feed.judge(batch) == CacheFeed::Verdict::known;
-    if (!known && settings.core) kept_feed.add(std::move(batch), true);
+    auto const known = cache_feed.judge(batch) == CacheFeed::Verdict::known;
+    if (!known && settings.core) cache_feed.add(std::move(batch), true);
 }
 
 // What was read at the source itself; nothing where the feed is further already.
 auto Control::kept_caught_up(CacheBatch const& batch) -> bool {
-    auto& cursor = kept_feed.cursors[batch.source];
+    auto& cursor = cache_feed.cursors[batch.source];
     if (cursor.life == batch.life && batch.next < cursor.next) return false;
     cursor = {batch.life, batch.next};
     return true;
@@ -28,27 +28,27 @@
     if (!load_choice.relayed) return;
     auto const cores = membership.alive_members(true);
     auto const asked_at = [&](std::string const& identity) {
-        auto const found = kept_feed.readings.find(identity);
-        return found == kept_feed.readings.end() ? Microseconds{0} : found->second.asked_at;
+        auto const found = cache_feed.readings.find(identity);
+        return found == cache_feed.readings.end() ? Microseconds{0} : found->second.asked_at;
     };
     if (settings.core) {
         for (auto const& core : cores)
             if (core.identity != membership.self.identity && now - asked_at(core.identity) >= kept_times.between_cores)
-                output.sends.push_back({core.control_address, kept_feed.ask(core.identity, true, now)});
+                output.sends.push_back({core.control_address, cache_feed.ask(core.identity, true, now)});
         return;
     }
     auto const busy = now - load_told_at < kept_times.busy_for;
     if (now - feed_asked_at < (busy ? kept_times.busy : kept_times.idle)) return;
     feed_asked_at = now;
     if (auto const* relay = load_choice.choose(membership.self, cores, now))
-        output.sends.push_back({relay->control_address, kept_feed.ask(relay->identity, false, now)});
+        output.sends.push_back({relay->control_address, cache_feed.ask(relay->identity, false, now)});
 }
 
 auto Control::take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output)
     -> void {
     load_choice.heard(from, now);
-    for (auto& taken : kept_feed.take(from, answer)) {
-        if (settings.core) kept_feed.add(std::move(taken.batch), false);
+    for (auto& taken : cache_feed.take(from, answer)) {
+        if (settings.core) cache_feed.add(std::move(taken.batch), false);
         else output.kept.push_back(std::move(taken));
     }
 }
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -70,7 +70,7 @@
 }
 
 auto Control::on(Arrival const& arrival, FeedAsk const& ask) -> void {
-    if (settings.core) arrival.output.sends.push_back({arrival.address, kept_feed.answer(ask)});
+    if (settings.core) arrival.output.sends.push_back({arrival.address, cache_feed.answer(ask)});
 }
 
 auto Control::on(Arrival const& arrival, FeedAnswer const& answer) -> void {
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -52,13 +52,13 @@
     auto all = sources_to_read(*snapshot.load());
     std::set<std::string> names;
     for (auto const& [name, source] : all) names.insert(name);
-    control.kept_feed.forget_except(names);
+    control.cache_feed.forget_except(names);
     auto const met = clock_now() - started_at > members_met;
     auto const direct = met && !load_relayed && !settings.front_address.empty();
     std::erase_if(
         all, [&](auto const& item) { return !direct && !control.reads_source(item.first, item.second.area); });
     for (auto const& [name, store] : take_sources(std::move(all))) {  // a loop starts at once, and takes the lock
-        auto const& cursor = control.kept_feed.cursors[name];
+        auto const& cursor = control.cache_feed.cursors[name];
         spawn_connection(counters, context.get_executor(), parts_loop(name, store, cursor.next, cursor.life));
     }
 }
