--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -123,7 +123,7 @@
     auto judge_load_relays() -> bool;
     auto nodes_placing() const -> std::int64_t;
     // This node's word of its load to its relay; what it holds of which relay's sums.
-    auto tell_load(
+    auto report_load(
         Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
         -> ControlOutput;
 
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -20,7 +20,7 @@
     return load_choice.relayed;
 }
 
-auto Control::tell_load(
+auto Control::report_load(
     Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
     -> ControlOutput {
     ControlOutput output;
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -123,8 +123,8 @@
     auto take_replica_weights(Snapshot const& fresh) -> void;  // under table.lock
     auto tick_control() -> void;
     auto log_parts(Microseconds now) -> void;
-    auto tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
-    auto judge_load(Microseconds now) -> void;                                     // whether it goes through relays
+    auto report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
+    auto judge_load(Microseconds now) -> void;                                       // whether it goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
     auto form_anew(std::function<void(CallDone)> done) -> void;
     auto make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -6,7 +6,7 @@
 namespace dockrock {
 
 // Holds the table's lock on entry; it is let go before the control side is entered.
-auto Node::tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
+auto Node::report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
     auto& load_table = table.scheduler.load_table;
     auto const number = static_cast<std::uint64_t>(now);
     auto const relayed = load_table.relayed;
@@ -15,7 +15,7 @@
     auto const held = load_table.summed.number;
     guard.unlock();
     in_control([this, now, number, relayed, body = std::move(body), relay = std::move(relay), held] {
-        if (relayed) apply_output(control.tell_load(now, number, body, relay, held));
+        if (relayed) apply_output(control.report_load(now, number, body, relay, held));
         else apply_output(control.digest(body, number, snapshot.load()->resting));
     });
 }
@@ -35,7 +35,7 @@
     write_log(Level::information, "load-relays", fields("used", relayed, "nodes", nodes));
     auto const number = static_cast<std::uint64_t>(now);
     if (relayed) apply_output(control.digest("{}", number, snapshot.load()->resting));
-    else apply_output(control.tell_load(now, number, write_loads({}), "", 0));
+    else apply_output(control.report_load(now, number, write_loads({}), "", 0));
 }
 
 }  // namespace dockrock
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -74,7 +74,7 @@
         auto const due = now - last_digest >= interval && now - last_ticket < 12 * one_second;
         if (!due) continue;
         last_digest = now;
-        tell_load(now, std::move(guard));
+        report_load(now, std::move(guard));
     }
 }
 
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -183,7 +183,7 @@
     if (!view.leader && now - view.list_at > node.list_polling.fallback)
         view.members = node.control.membership.alive_members(false).size();
     if (node.list_polling.due(view, now, node.control.random)) read_list(node);
-    if (requests && !node.core && now - node.last_digest >= node.load.table.options.digest_interval) tell_load(node);
+    if (requests && !node.core && now - node.last_digest >= node.load.table.options.digest_interval) report_load(node);
     auto const interval = (requests && !node.core ? 25 : node.core ? 50 : 100) * one_millisecond;
     at(now + interval, [this, index, life] { tick(index, life); });
 }
@@ -198,7 +198,7 @@
     });
 }
 
-auto HollowFleet::tell_load(HollowNode& node) -> void {
+auto HollowFleet::report_load(HollowNode& node) -> void {
     node.last_digest = now;
     auto const before = use_account(node.account());
     node.load.run_until(now);  // the requests themselves are not measured here
@@ -209,7 +209,7 @@
         table.relayed = node.control.judge_load_relays();
         table.fleet_nodes = node.control.nodes_placing();
         if (table.relayed)
-            return node.control.tell_load(
+            return node.control.report_load(
                 now, number, table.make_told(number, now), table.summed.relay, table.summed.number);
         return node.control.digest(table.make_digest(now), number, node.snapshot->resting);
     });
--- a/tests/hollow/fleet.hpp
+++ b/tests/hollow/fleet.hpp
@@ -97,7 +97,7 @@
     auto send(HollowNode& node, std::string const& address, std::shared_ptr<std::string const> frame) -> void;
     auto tick(std::size_t index, std::uint64_t life) -> void;
     auto read_list(HollowNode& node) -> void;
-    auto tell_load(HollowNode& node) -> void;
+    auto report_load(HollowNode& node) -> void;
     auto work_disk(HollowNode& node) -> void;
     auto delay(HollowNode const& from, HollowNode const& to) -> Microseconds;
 };
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -110,12 +110,12 @@
         world.act(
             index,
             load_table.relayed ? control.digest("{}", number, {})
-                               : control.tell_load(now, number, write_loads({}), "", 0));
+                               : control.report_load(now, number, write_loads({}), "", 0));
     }
     if (!load_table.relayed) return world.act(index, control.digest(load_table.make_digest(now), number, {}));
     auto body = load_table.make_told(number, now);
     world.act(
-        index, control.tell_load(now, number, std::move(body), load_table.summed.relay, load_table.summed.number));
+        index, control.report_load(now, number, std::move(body), load_table.summed.relay, load_table.summed.number));
 }
 
 // The platform's list is half a second old when it is read.
