--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -33,7 +33,7 @@
     line["replica"] = placement.replica;
     line["weights"] = placement.weights;
     line["kept_tokens"] = placement.cached_tokens;
-    line["best_kept_tokens"] = placement.best_kept;
+    line["best_kept_tokens"] = placement.best_cached;
     line["moved_tokens"] = placement.fetch.tokens;
     line["tokens_to_read"] = placement.tokens_to_read;
     line["outstanding_tokens"] = placement.outstanding;
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -64,7 +64,7 @@
     auto const steps = options.work_outstanding ? std::int64_t{0} : options.load_steps;
     ReplicaState const* best = nullptr;
     auto best_running = std::int64_t{0};
-    auto best_kept = std::int64_t{0};
+    auto best_cached = std::int64_t{0};
     auto best_hash = std::uint64_t{0};
     for (auto const* candidate : found) {
         auto const& state = *candidate;
@@ -76,12 +76,13 @@
             auto const left = steps > 0 ? running * steps / state.entry.capacity : running * best->entry.capacity;
             auto const right =
                 steps > 0 ? best_running * steps / best->entry.capacity : best_running * state.entry.capacity;
-            better = left < right || (left == right && (kept > best_kept || (kept == best_kept && hash < best_hash)));
+            better =
+                left < right || (left == right && (kept > best_cached || (kept == best_cached && hash < best_hash)));
         }
         if (!better) continue;
         best = &state;
         best_running = running;
-        best_kept = kept;
+        best_cached = kept;
         best_hash = hash;
     }
     return best;
@@ -133,7 +134,7 @@
         view.kept = load_table.cached_tokens(*state, ticket);
         auto const& runs = runs_for(state->weights_hash);
         view.outstanding = load_table.unread(*state, now);
-        view.best_kept = runs.replicas;
+        view.best_cached = runs.replicas;
         view.movable = std::max(options.peer_moves ? runs.replicas : 0, runs.stores);
         view.queued = std::max<std::int64_t>(0, load_table.running(*state, now) + 1 - state->entry.capacity);
         view.home = !options.prefix_home || state == home;
--- a/source/scheduling/placement_cost.hpp
+++ b/source/scheduling/placement_cost.hpp
@@ -13,7 +13,7 @@
     std::int64_t prompt = 0;       // of this request
     std::int64_t kept = 0;         // leading run of the prompt that the replica keeps
     std::int64_t movable = 0;      // longest leading run that a peer or a store could move there
-    std::int64_t best_kept = 0;    // longest leading run that any replica keeps
+    std::int64_t best_cached = 0;  // longest leading run that any replica keeps
     std::int64_t shared = 0;       // leading run that other requests may ask for again
     std::int64_t queued = 0;       // requests that would wait there for a place to run
     bool home = false;             // where the shared run is read first
@@ -32,8 +32,8 @@
 // Tokens of shared prefix that this placement would keep in one more place than needed: of what others keep
 // already, and, where nobody keeps the rest, all but the home.
 constexpr auto tokens_copied(PlacementView const& view) -> std::int64_t {
-    auto const known = std::max<std::int64_t>(0, view.best_kept - view.kept);
-    auto const unknown = std::max<std::int64_t>(0, view.shared - std::max(view.best_kept, view.kept));
+    auto const known = std::max<std::int64_t>(0, view.best_cached - view.kept);
+    auto const unknown = std::max<std::int64_t>(0, view.shared - std::max(view.best_cached, view.kept));
     return std::min(known, view.shared) + (view.home ? 0 : unknown);
 }
 
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -41,7 +41,7 @@
     std::int64_t tokens_to_read = 0;  // of its prompt: neither kept there nor moved
     std::int64_t outstanding = 0;     // tokens of other prompts to be read there first
     std::int64_t running = 0;         // requests there
-    std::int64_t best_kept = 0;       // longest run that any replica of these weights kept
+    std::int64_t best_cached = 0;     // longest run that any replica of these weights kept
     std::optional<Filter> held_by;    // the filter that made it wait last
     bool short_prompt = false;        // so little to read that it goes before other requests
 };
