--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -158,7 +158,7 @@
         co_return co_await answer(request, known ? 405 : 404, fields("error", what));
     }
     if (call.operation != "get" && call.identity.empty())
-        call.identity = "node-" + std::to_string(clock_now()) + "-" + std::to_string(node.next_ticket++);
+        call.identity = "node-" + std::to_string(clock_now()) + "-" + std::to_string(node.next_request_number++);
     auto const asked_at = clock_now();
     auto room = MemoryShare(node.message_memory);
     auto done = co_await node_call(node, call, room);
--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -96,7 +96,7 @@
 auto Session::run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
     auto course = RequestLifecycle();
     course.ticket = std::move(verdict.ticket);
-    course.ticket.number = node.next_ticket++;
+    course.ticket.number = node.next_request_number++;
     course.rules = sequence;
     ticket_number = course.ticket.number;
     if (node.resting_now) node.wake();
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -119,7 +119,7 @@
     auto const& route = *judgement.verdict.route;
     auto course = RequestLifecycle();
     course.ticket = judgement.verdict.verdict.ticket;
-    course.ticket.number = node.next_ticket++;
+    course.ticket.number = node.next_request_number++;
     course.rules = judgement.rules;
     auto answer = RelayAnswer();
     auto usable = false;
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -45,7 +45,7 @@
     else take_scheduling_options(table.scheduler.options);
     table.scheduler.load_table.self = identity;
     take_limits();
-    next_ticket = (static_cast<std::uint64_t>(device()) << 31U) + 1;
+    next_request_number = (static_cast<std::uint64_t>(device()) << 31U) + 1;
     proven_at = started_at - 3'600 * one_second;
     auto empty = std::make_shared<Snapshot>();
     empty->rules = std::make_shared<Rules>();
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -54,7 +54,7 @@
     LatencyMetrics measures;
     UpdateMetrics sight;
     AdmissionTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
-    std::atomic<std::uint64_t> next_ticket{1};
+    std::atomic<std::uint64_t> next_request_number{1};
     asio::signal_set stop_signals{context};
     asio::signal_set reload_signals{context};
     bool running = false;  // the start is over
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -88,7 +88,7 @@
     Random random;
     ReplicaLoadTable table;
     Microseconds now = 10 * one_second;
-    std::uint64_t next_ticket = 1;
+    std::uint64_t next_request_number = 1;
     std::vector<std::pair<std::string, std::uint64_t>> placed;
     std::map<std::string, std::uint64_t> numbers;
 
@@ -135,7 +135,7 @@
             case 6: {
                 auto const name = replica();
                 if (!table.replicas.contains(name)) break;
-                auto request = make_ticket(random.below(30) == 0 ? 1 : next_ticket++);
+                auto request = make_ticket(random.below(30) == 0 ? 1 : next_request_number++);
                 request.body.slots = 1 + static_cast<std::int64_t>(random.below(2));
                 table.place(name, request, 50, now);
                 placed.emplace_back(name, request.number);
--- a/tests/simulation/fleet_run.cpp
+++ b/tests/simulation/fleet_run.cpp
@@ -20,13 +20,13 @@
     world.run_until_true([&] { return result.acknowledged > 0; }, 5 * one_second);
     world.run_until(world.now + 2 * one_second);
     auto const end = world.now + options.length;
-    auto next_ticket = world.now;
+    auto next_request_number = world.now;
     auto next_fault = world.now + one_second;
     while (world.now < end) {
-        world.run_until(std::min({next_ticket, next_fault, end}));
-        if (world.now >= next_ticket) {
+        world.run_until(std::min({next_request_number, next_fault, end}));
+        if (world.now >= next_request_number) {
             caller_asks();
-            next_ticket = world.now +
+            next_request_number = world.now +
                 static_cast<Microseconds>(static_cast<double>(random.below(2'000'000)) / options.tickets_each_second);
         }
         if (world.now >= next_fault) {
