--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -60,8 +60,8 @@
         "news_bytes_whole", node.control.news_bytes_whole, "identity", node.control.membership.self.identity, "ready",
         node.ready(now), "resting", node.resting_now.load(), "stopping", node.stopping.load(), "configuration_in_force",
         etag_of(current->rules->sequence), "replicas_listed", current->list.replicas.size(), "list_age_microseconds",
-        now - node.control.news[configuration_partition].live_at, "open_tickets", node.open_tickets.load(), "members",
-        std::move(members), "peers", write_peers(node.transport, now), "partitions", std::move(partitions));
+        now - node.control.news[configuration_partition].live_at, "open_tickets", node.open_inferences.load(),
+        "members", std::move(members), "peers", write_peers(node.transport, now), "partitions", std::move(partitions));
 }
 
 }  // namespace
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -66,7 +66,7 @@
     sight.write(text);
     line("client_connections", client_connections.load());
     if (most_client_connections != no_limit) line("client_connections_limit", most_client_connections);
-    line("open_tickets", open_tickets.load());
+    line("open_tickets", open_inferences.load());
     line("resting", resting_now ? 1 : 0);
     line("ready", ready(now) ? 1 : 0);
     auto const disk = disk_state(now);
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -84,7 +84,7 @@
         node.note_refusal(status, judgement.rules);
         co_return co_await refuse(request, status, verdict.reason, status == 503 ? soon : "");
     }
-    auto const counted = CountedScope(node.open_tickets);
+    auto const counted = CountedScope(node.open_inferences);
     auto const watched = WatchScope(*this);
     co_return co_await run(request, std::move(judgement));
 }
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -173,7 +173,7 @@
         co_return co_await answer(request, verdict.status, std::move(body), std::move(headers));
     }
     if (node.stopping) co_return co_await shed(request, "stopping", 1);
-    auto const counted = CountedScope(node.open_tickets);
+    auto const counted = CountedScope(node.open_inferences);
     auto const usable = verdict.kind == Verdict::Kind::forward
         ? co_await forward_application(request, std::move(verdict))
         : co_await run_ticket(request, std::move(verdict), current->rules->sequence);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -69,7 +69,7 @@
     std::atomic<bool> disk_failed{false};  // the last operation on it failed
     std::atomic<Microseconds> disk_busy_since{0};
     DiskState logged_disk = DiskState::well;  // inside control_work
-    std::atomic<int> open_tickets{0};
+    std::atomic<int> open_inferences{0};
     std::atomic<int> client_connections{0};  // at the door of clients
     std::uint64_t most_client_connections = no_limit;
     std::atomic<int> open_requests{0};  // read or being read, not yet answered
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -142,7 +142,7 @@
 // Not ready, duties handed over, streams finished, then out (design 13).
 auto Node::stop_politely() -> awaitable<void> {
     set_process_phase(ProcessPhase::stopping);
-    write_log(Level::information, "stopping", fields("open_tickets", open_tickets.load()));
+    write_log(Level::information, "stopping", fields("open_tickets", open_inferences.load()));
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     auto const limit = clock_now() + settings.stop_limit_milliseconds * one_millisecond;
     auto duties = std::make_shared<std::atomic<bool>>(true);
@@ -161,10 +161,11 @@
         timer.expires_after(std::chrono::milliseconds(50));
         co_await timer.async_wait(use_tuple);
         if (clock_now() > notice) closing = true;
-        if (!duties->load() && open_tickets == 0 && closing) break;
+        if (!duties->load() && open_inferences == 0 && closing) break;
     }
     closing = true;
-    if (open_tickets > 0) write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_tickets.load()));
+    if (open_inferences > 0)
+        write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_inferences.load()));
     in_control([this] { apply_output(control.leave()); });
     // The door is shut first; whoever was inside is still answered.
     asio::post(accept_strand, [this] {
--- a/source/process/node_signals.cpp
+++ b/source/process/node_signals.cpp
@@ -19,7 +19,7 @@
         if (!running) stop_asked = true;
         else if (!stopping) begin_stop();
         else if (signal == SIGINT) std::_Exit(1);  // at a terminal, the second one ends it at once
-        else write_log(Level::information, "stopping-already", fields("open_tickets", open_tickets.load()));
+        else write_log(Level::information, "stopping-already", fields("open_tickets", open_inferences.load()));
         await_stop();
     });
 }
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -75,7 +75,7 @@
     scheduler.load_table.take_weights("life-1", "", false);
     session.run_for(100 * one_millisecond);
     CHECK(session.wire.accepted == 0);
-    CHECK(session.wire.node->open_tickets == 0);
+    CHECK(session.wire.node->open_inferences == 0);
     CHECK(session.wire.node->open_requests == 0);
 }
 
