--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -53,7 +53,7 @@
     node.measures.waiting(course.ticket).add(clock_now() - began);
     if (entry.shed)
         co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
-    co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
+    co_return course.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
 auto Session::claim(RequestLifecycle& course) -> awaitable<LifecycleStep> {
@@ -72,7 +72,7 @@
         : done.state == ClaimState::seen              ? node.counters.claims_seen
                                                       : node.counters.claims_unknown;
     ++counter;
-    co_return course.claimed(done.state, done.term, asked_at, node.facts_for(course.placement.replica));
+    co_return course.claimed(done.state, done.term, asked_at, node.lifecycle_facts(course.placement.replica));
 }
 
 auto Session::send_try(HttpRequest const& request, RequestLifecycle& course, bool& usable) -> awaitable<LifecycleStep> {
@@ -121,7 +121,7 @@
             case Step::enqueue: step = co_await enter_buffer(course); break;
             case Step::claim: step = co_await claim(course); break;
             case Step::interpret: {
-                auto const facts = node.facts_for(course.placement.replica);
+                auto const facts = node.lifecycle_facts(course.placement.replica);
                 auto [later, current] = co_await interpret_now(request);
                 step = course.judged(std::move(later), current->rules->sequence, facts);
                 break;
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -111,7 +111,7 @@
     auto const entry = node.table.leave(number);
     if (entry.shed)
         co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
-    co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
+    co_return course.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
 auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
@@ -154,7 +154,7 @@
                 break;
             }
             case Step::interpret: {
-                auto const facts = node.facts_for(course.placement.replica);
+                auto const facts = node.lifecycle_facts(course.placement.replica);
                 auto later = judge(request, course.ticket.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -132,7 +132,7 @@
     auto try_ended(
         std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
         Microseconds sent_at) -> void;
-    auto facts_for(std::string const& replica) const -> LifecycleFacts;
+    auto lifecycle_facts(std::string const& replica) const -> LifecycleFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
     auto refusal_limit() const -> Microseconds { return refusal_limit_of(settings.bounds); }
     // Looked at before the snapshot that it stands for (design 8.3).
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -10,7 +10,7 @@
 
 // For the last checks. They hold what matching held: a try that matching allows
 // and the checks refuse would go round without end (design 8.3).
-auto Node::facts_for(std::string const& replica) const -> LifecycleFacts {
+auto Node::lifecycle_facts(std::string const& replica) const -> LifecycleFacts {
     auto facts = LifecycleFacts();
     facts.now = clock_now();
     facts.proof_age = proof_age(facts.now);  // before the snapshot: what it proves is then in it
@@ -29,7 +29,7 @@
 
 // Opening a connection takes time in which rules, list and proof go on. Nothing is written yet.
 auto Node::last_look(RequestLifecycle const& course) const -> SendCheck {
-    auto const facts = facts_for(course.placement.replica);
+    auto const facts = lifecycle_facts(course.placement.replica);
     if (!course.may_be_sent(facts)) return SendCheck::moved_on;
     return request_leaves(course, facts) ? SendCheck::send : SendCheck::forbidden;
 }
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -31,7 +31,7 @@
         work(*fresh);
         node->snapshot = fresh;
     }
-    auto leaves() const -> bool { return node->request_leaves(course, node->facts_for("replica")); }
+    auto leaves() const -> bool { return node->request_leaves(course, node->lifecycle_facts("replica")); }
 };
 
 constexpr auto order_wait = 3 * one_second;
@@ -95,7 +95,7 @@
     for (auto const* sender : {&old, &leaving, &unlisted, &moved}) {
         auto const expected = ExpectedViolations{Invariant::send_under_proof};
         CHECK_FALSE(sender->leaves());
-        CHECK_FALSE(sender->course.may_be_sent(sender->node->facts_for("replica")));
+        CHECK_FALSE(sender->course.may_be_sent(sender->node->lifecycle_facts("replica")));
     }
 }
 
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -32,7 +32,7 @@
     REQUIRE(woken);
     auto const entry = node->table.leave(1);
     REQUIRE(entry.placement);
-    auto const facts = node->facts_for(entry.placement->replica);
+    auto const facts = node->lifecycle_facts(entry.placement->replica);
     CHECK(facts.proof_limit == node->table.scheduler.proof_limit);
     CHECK(facts.listed);
     CHECK(course.placed(*entry.placement, facts).step == Step::send);
