--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -74,7 +74,7 @@
         Microseconds since = 0;
     };
     std::vector<HeldRequest> waiting_asks;
-    UpdateCounts news_counts;
+    UpdateCounts update_counts;
     VersionHistory namings;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -130,12 +130,12 @@
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     auto* asked = past_ask(item, answer.token);
     if (asked == nullptr) {
-        ++news_counts.unknown;
+        ++update_counts.unknown;
         return;
     }
     if (!asked->answered) {
-        ++news_counts.late;
-        news_counts.latest = std::max(news_counts.latest, now - asked->asked_at);
+        ++update_counts.late;
+        update_counts.latest = std::max(update_counts.latest, now - asked->asked_at);
         output.notes.push_back({answer.partition, asked->whom, now - asked->asked_at, true});
     }
     asked->answered = true;
@@ -177,7 +177,7 @@
     if (item.ask_token == 0) return true;
     if (now - item.asked_at < (partition == configuration_partition ? times.ask_limit : times.service_ask_limit))
         return false;
-    ++news_counts.unanswered;
+    ++update_counts.unanswered;
     output.notes.push_back({partition, item.asked_whom, now - item.asked_at, false});
     pass_by(item, false);
     if (item.asked_relay) item.direct_until = now + times.direct;
@@ -220,7 +220,7 @@
         if (!ask_overdue(item, static_cast<int>(index), now, output)) continue;
         auto const target = news_target(item, static_cast<int>(index), now);
         if (target.empty()) continue;
-        ++news_counts.asked;
+        ++update_counts.asked;
         item.ask_token = random.next() | 1U;
         item.asked_at = now;
         item.asked_whom = target;
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -116,7 +116,7 @@
             load_table.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
     }
     if (!output.kept.empty()) take_feed(output.kept);
-    sight.take(control.news_counts, output.notes);
+    sight.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
     losses_bearable.look(control, now);
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -68,7 +68,7 @@
     CHECK(asker.held().copy.document == "new");
     CHECK(asker.last.news);
     CHECK(asker.held().proven_at == first_at - 10 * one_millisecond);
-    CHECK(asker.control.news_counts.late == 1);
+    CHECK(asker.control.update_counts.late == 1);
     auto const proven = asker.held().proven_at;
     asker.answer(asker.asked.front().second, {1, 4}, -one_second, "old");  // never back
     CHECK(asker.held().copy.document == "new");
@@ -77,7 +77,7 @@
     stranger.token += 2;
     asker.answer(stranger, {1, 6}, -one_second, "newer");
     CHECK(asker.held().copy.document == "new");
-    CHECK(asker.control.news_counts.unknown == 1);
+    CHECK(asker.control.update_counts.unknown == 1);
 }
 
 TEST_CASE("where the leader does not answer, it and another are asked at once, and it is doubted", "[news]") {
@@ -102,5 +102,5 @@
     while (asker.now < asked_at + 100 * one_millisecond) asker.run(step);
     asker.answer(held, {}, -100 * one_millisecond);  // the leader held it
     CHECK(asker.held().proven_at == asked_at + 100 * one_millisecond);
-    CHECK(asker.control.news_counts.late == 0);
+    CHECK(asker.control.update_counts.late == 0);
 }
