--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -82,16 +82,16 @@
 // the leader holds too, so that a restart never gives one key to two tickets.
 auto Partition::fly_claims(Context& context) -> void {
     if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
-    claims.flown.clear();
+    claims.replicating_claims.clear();
     for (auto const& key : claims.to_fly)
-        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.flown.insert(key);
-    if (claims.flown.empty() && !claims.whole_needed) return;
-    for (auto const& key : claims.flown) claims.to_fly.erase(key);
+        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
+    if (claims.replicating_claims.empty() && !claims.whole_needed) return;
+    for (auto const& key : claims.replicating_claims) claims.to_fly.erase(key);
     claims.whole_flies = claims.whole_needed;
     claims.replication_batch.clear();
     if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
     else
-        for (auto const& key : claims.flown)
+        for (auto const& key : claims.replicating_claims)
             if (auto const found = claims.held.find(key); found != claims.held.end())
                 claims.replication_batch += write_claim(key, found->second, context.now);
     claims.flying = true;
@@ -137,7 +137,7 @@
 auto Partition::claims_flown(Context& context) -> void {
     if (claims.landed.size() < votes.decided.followers.size()) return;
     claims.flying = false;
-    claims.flown.clear();
+    claims.replicating_claims.clear();
     if (claims.whole_flies) claims.whole_needed = false;
     settle_claims(context);
     fly_claims(context);
@@ -169,8 +169,8 @@
     claims.flying = false;
     if (!is_leader(context.self)) return claims.stand_back();
     claims.whole_needed = true;
-    for (auto const& key : claims.flown) claims.to_fly.insert(key);
-    claims.flown.clear();
+    for (auto const& key : claims.replicating_claims) claims.to_fly.insert(key);
+    claims.replicating_claims.clear();
 }
 
 }  // namespace dockrock
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -58,7 +58,7 @@
 
 auto ClaimTable::settled(std::string const& key) const -> bool {
     return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
-        !flown.contains(key);
+        !replicating_claims.contains(key);
 }
 
 auto ClaimTable::drop_fresh() -> void {
@@ -71,7 +71,7 @@
     drop_fresh();
     waiters.clear();
     to_fly.clear();
-    flown.clear();
+    replicating_claims.clear();
     flying = false;
     whole_needed = true;
 }
