--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -25,10 +25,10 @@
 
 auto ReplicaState::sum_told() -> void {
     told_slots = told_memory = told_unread = told_unreported = 0;
-    told_oldest = told.empty() ? 0 : told.front().at;
+    remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
         count_told(item, 1);
-        told_oldest = std::min(told_oldest, item.at);
+        remote_oldest = std::min(remote_oldest, item.at);
     }
 }
 
@@ -40,7 +40,7 @@
     auto found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
     if (found == state.told.end()) {
-        if (state.told.empty()) state.told_oldest = digest.at;
+        if (state.told.empty()) state.remote_oldest = digest.at;
         state.told.push_back({digest.node, hash_text(node, state.seed)});
         found = state.told.end() - 1;
     }
@@ -54,7 +54,7 @@
     found->failed = item.failed;
     found->unreported = item.count > 0 ? item.memory / item.count * std::min(item.recent, item.count) : 0;
     state.count_told(*found, 1);
-    state.told_oldest = std::min(state.told_oldest, digest.at);
+    state.remote_oldest = std::min(state.remote_oldest, digest.at);
 }
 
 auto untell(ReplicaState& state, std::uint64_t node) -> void {
@@ -130,7 +130,7 @@
 
 auto ReplicaLoadTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_slots + (relayed && !summed_lost(now) ? state.summed.slots : 0);
-    if (now - state.told_oldest <= options.digest_lost) return sum + state.told_slots;
+    if (now - state.remote_oldest <= options.digest_lost) return sum + state.told_slots;
     for (auto const& item : state.told)
         if (now - item.at <= options.digest_lost) sum += item.slots;
     return sum;
@@ -165,7 +165,7 @@
         if (summed.at > state.reported_at && load.count > 0)
             reported -= load.memory / load.count * std::min(load.recent, load.count);
     }
-    if (now - state.told_oldest <= options.digest_lost)
+    if (now - state.remote_oldest <= options.digest_lost)
         return std::min(free - state.told_memory, reported - state.told_unreported);
     for (auto const& item : state.told) {
         if (now - item.at > options.digest_lost) continue;
