--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -68,11 +68,11 @@
     // nothing else about that node is newer.
     if (told.knows_fleet && !entry.member.knows_fleet) {
         entry.member.knows_fleet = true;
-        entry.times_told = 0;
+        entry.times_gossiped = 0;
     }
     if (told.leaving && told.incarnation == entry.member.incarnation && !entry.member.leaving) {
         entry.member.leaving = true;
-        entry.times_told = 0;
+        entry.times_gossiped = 0;
     }
     if (!newer || told.state != state_alive) return;
     for (auto& [identity, other] : known) {  // a node that came back under a new identity
@@ -80,19 +80,20 @@
         if (other.member.state == state_dead || other.member.incarnation > told.incarnation) continue;
         other.member.state = state_dead;
         other.changed_at = now;
-        other.times_told = 0;
+        other.times_gossiped = 0;
     }
 }
 
 auto Membership::rumours(std::size_t most) -> std::vector<Member> {
     std::vector<KnownMember*> entries;
     for (auto& [identity, entry] : known) entries.push_back(&entry);
-    std::stable_sort(
-        entries.begin(), entries.end(), [](auto* left, auto* right) { return left->times_told < right->times_told; });
+    std::stable_sort(entries.begin(), entries.end(), [](auto* left, auto* right) {
+        return left->times_gossiped < right->times_gossiped;
+    });
     std::vector<Member> told{self};
     for (auto* entry : entries) {
         if (told.size() > most) break;
-        ++entry->times_told;
+        ++entry->times_gossiped;
         told.push_back(entry->member);
     }
     return told;
@@ -138,7 +139,7 @@
         probed->second.member.state != state_dead) {
         probed->second.member.state = state_dead;
         probed->second.changed_at = now;
-        probed->second.times_told = 0;
+        probed->second.times_gossiped = 0;
     }
     pending.erase(found);
 }
--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -33,7 +33,7 @@
 struct KnownMember {
     Member member;
     Microseconds changed_at = 0;
-    int times_told = 0;
+    int times_gossiped = 0;
 };
 
 struct Membership {
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -35,7 +35,7 @@
             if (found->second.member.state == state_alive) {
                 found->second.member.state = state_suspect;
                 found->second.changed_at = now;
-                found->second.times_told = 0;
+                found->second.times_gossiped = 0;
             }
             place = pending.erase(place);
             continue;
@@ -69,7 +69,7 @@
         if (entry.member.state == state_suspect && now - entry.changed_at > times.suspicion_limit) {
             entry.member.state = state_dead;
             entry.changed_at = now;
-            entry.times_told = 0;
+            entry.times_gossiped = 0;
         }
         if (entry.member.state == state_dead && now - entry.changed_at > times.forget_limit) place = known.erase(place);
         else ++place;
