--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -148,7 +148,7 @@
     if (form != nullptr) take_replica_weights(*fresh);
     table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
     table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
-    match_locked(clock_now());
+    schedule_locked(clock_now());
 }
 
 }  // namespace dockrock
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -142,7 +142,7 @@
     auto proof_limit() const -> Microseconds { return table.scheduler.proof_limit; }  // fixed at start
     auto proof_age(Microseconds now) const -> Microseconds { return now - proven_at.load(); }
     auto ready(Microseconds now) const -> bool;
-    auto match_locked(Microseconds now) -> void { table.match_locked(now, proof_age(now)); }
+    auto schedule_locked(Microseconds now) -> void { table.schedule_locked(now, proof_age(now)); }
 
     auto run_disk() -> void;
     // Waits a while for what is being written; a disk that hangs does not hold up the end.
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -101,7 +101,7 @@
             }
             auto const guard = std::lock_guard(table.lock);
             table.scheduler.load_table.take_report(name, report, asked_at);
-            if (table.scheduler.waiting_count() > 0) match_locked(clock_now());
+            if (table.scheduler.waiting_count() > 0) schedule_locked(clock_now());
         } else if (answer.end == CallEnd::not_sent) {
             auto const guard = std::lock_guard(table.lock);
             table.scheduler.load_table.report_failed(name, clock_now());
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -68,7 +68,7 @@
         look_at_settings(now);
         auto guard = std::unique_lock(table.lock);
         if (now >= weights_guard.judge_at) take_replica_weights(*snapshot.load());
-        if (table.scheduler.waiting_count() > 0) match_locked(now);
+        if (table.scheduler.waiting_count() > 0) schedule_locked(now);
         auto const& options = table.scheduler.options;
         auto const interval = table.scheduler.load_table.relayed ? options.relayed_interval : options.digest_interval;
         auto const due = now - last_digest >= interval && now - last_ticket < 12 * one_second;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -52,7 +52,7 @@
         if (retry::outcome_of_replica(end)) table.scheduler.load_table.ended(replica, end != TryEnd::answered, now);
         if (end == TryEnd::not_sent) table.scheduler.load_table.report_failed(replica, now);
         if (end == TryEnd::did_not_run) table.scheduler.load_table.refused(replica, reason, now);
-        if (table.scheduler.waiting_count() > 0) match_locked(now);
+        if (table.scheduler.waiting_count() > 0) schedule_locked(now);
     }
     if (end == TryEnd::answered) {
         ++counters.answered;
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -38,7 +38,7 @@
         if (avoid) scheduler.enter_again(ticket, *avoid, now);
         else scheduler.enqueue(ticket, now, decisions);
         settle(decisions);
-        match_locked(now, proof_age);
+        schedule_locked(now, proof_age);
     }
 
     // Takes the entry out, with what was decided of it.
@@ -63,10 +63,10 @@
 
     auto match(Microseconds now, Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
-        match_locked(now, proof_age);
+        schedule_locked(now, proof_age);
     }
 
-    auto match_locked(Microseconds now, Microseconds proof_age) -> void {
+    auto schedule_locked(Microseconds now, Microseconds proof_age) -> void {
         Decisions decisions;
         scheduler.match(now, proof_age, decisions);
         settle(decisions);
