--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -136,15 +136,15 @@
 }
 
 auto set_scopes(std::vector<Tenant>& tenants) -> void {
-    std::map<std::string, std::set<std::string>> walled_off;  // by domain that tenants share in
-    for (auto const& tenant : tenants) walled_off[tenant.isolation_domain];
+    std::map<std::string, std::set<std::string>> isolated_domains;  // by domain that tenants share in
+    for (auto const& tenant : tenants) isolated_domains[tenant.isolation_domain];
     for (auto const& tenant : tenants)
         for (auto const& domain : domains_around(tenant.path))
-            if (auto const found = walled_off.find(domain);
-                found != walled_off.end() && domain != tenant.isolation_domain)
+            if (auto const found = isolated_domains.find(domain);
+                found != isolated_domains.end() && domain != tenant.isolation_domain)
                 found->second.insert(tenant.isolation_domain);
     for (auto& tenant : tenants)
-        tenant.sharing_scope = sharing_scope(tenant.isolation_domain, walled_off[tenant.isolation_domain]);
+        tenant.sharing_scope = sharing_scope(tenant.isolation_domain, isolated_domains[tenant.isolation_domain]);
 }
 
 auto check_range(Checker& checker, std::int64_t value, std::int64_t least, std::int64_t most, std::string const& path)
--- a/source/sequence/sharing_scope.cpp
+++ b/source/sequence/sharing_scope.cpp
@@ -10,11 +10,12 @@
 
 }  // namespace
 
-auto sharing_scope(std::string_view domain, std::set<std::string> const& walled_off) -> std::string {
+auto sharing_scope(std::string_view domain, std::set<std::string> const& isolated_domains) -> std::string {
     auto scope = std::string(domain);
-    if (walled_off.empty()) return scope;
+    if (isolated_domains.empty()) return scope;
     auto listed = std::string();
-    for (auto const& name : walled_off) listed += std::to_string(name.size()) + ":" + name;  // no two lists are alike
+    for (auto const& name : isolated_domains)
+        listed += std::to_string(name.size()) + ":" + name;  // no two lists are alike
     return scope + "~" + sha256_of(listed).substr(0, mark_digits);
 }
 
--- a/source/sequence/sharing_scope.hpp
+++ b/source/sequence/sharing_scope.hpp
@@ -9,7 +9,7 @@
 namespace dockrock {
 
 // The scope of a domain from which these domains within it are walled off; the domain's own text where there are none.
-auto sharing_scope(std::string_view domain, std::set<std::string> const& walled_off) -> std::string;
+auto sharing_scope(std::string_view domain, std::set<std::string> const& isolated_domains) -> std::string;
 
 // The scope of a tenant that shares with nobody. No scope of a domain has the same text.
 auto isolated_scope(std::string_view tenant) -> std::string;
