--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -73,7 +73,7 @@
         UpdateRequest ask;
         Microseconds since = 0;
     };
-    std::vector<HeldRequest> waiting_asks;
+    std::vector<HeldRequest> held_requests;
     UpdateCounts update_counts;
     VersionHistory namings;
     std::map<std::uint64_t, PendingCall> calls;
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -48,20 +48,20 @@
 }
 
 auto Control::answer_overdue(Microseconds now, ControlOutput& output) -> void {
-    auto waiting = std::move(waiting_asks);
-    waiting_asks.clear();
+    auto waiting = std::move(held_requests);
+    held_requests.clear();
     for (auto const& item : waiting) {
         if (now - item.since >= hold_limit(item.ask.partition)) answer_news(now, item, output, false);
-        else waiting_asks.push_back(item);
+        else held_requests.push_back(item);
     }
 }
 
 auto Control::answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void {
-    auto waiting = std::move(waiting_asks);
-    waiting_asks.clear();
+    auto waiting = std::move(held_requests);
+    held_requests.clear();
     for (auto const& entry : waiting) {
         if (entry.ask.partition == partition) answer_news(now, entry, output, false);
-        else waiting_asks.push_back(entry);
+        else held_requests.push_back(entry);
     }
 }
 
@@ -74,7 +74,7 @@
     auto const list_newer = item.live_digest != ask.live_digest && live_age < ask.live_age;
     auto const newer = item.copy.sequence > ask.have || list_newer || item.record.term > ask.term;
     if (may_wait && !newer && (leads(ask.partition, now) || relays_news(ask.partition, now))) {
-        if (waiting_asks.size() < 1024) waiting_asks.push_back(waiting);
+        if (held_requests.size() < 1024) held_requests.push_back(waiting);
         return;
     }
     UpdateAnswer answer;
