--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -162,7 +162,7 @@
     auto const asked_at = clock_now();
     auto room = MemoryShare(node.message_memory);
     auto done = co_await node_call(node, call, room);
-    if (call.operation != "get" && done.status == 200) node.measures.in_force.add(clock_now() - asked_at);
+    if (call.operation != "get" && done.status == 200) node.latency_metrics.in_force.add(clock_now() - asked_at);
     auto headers = Headers();
     if (!done.etag.empty()) headers.emplace_back("ETag", done.etag);
     if (done.status == 503) headers.emplace_back("Retry-After", "1");
--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -141,7 +141,7 @@
                 head.set("Dockrock-Try", std::to_string(try_number));
                 head.set("Dockrock-Weights", placement.weights);
                 head.set("Dockrock-Ticket", std::to_string(ticket.number));
-                node.measures.first_pieces.of(ticket).add(clock_now() - ticket.arrived_at);
+                node.latency_metrics.first_pieces.of(ticket).add(clock_now() - ticket.arrived_at);
                 head.keep_alive(stay);
                 head.chunked(true);
                 auto serializer = http::response_serializer<http::empty_body>(head);
--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -50,7 +50,7 @@
         co_return course.gone();
     }
     auto const entry = node.table.leave(number);
-    node.measures.waiting(course.ticket).add(clock_now() - began);
+    node.latency_metrics.waiting(course.ticket).add(clock_now() - began);
     if (entry.shed)
         co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return course.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
@@ -67,7 +67,7 @@
             });
         },
         asio::use_awaitable);
-    node.measures.claim.add(clock_now() - asked_at);
+    node.latency_metrics.claim.add(clock_now() - asked_at);
     auto& counter = done.state == ClaimState::granted ? node.counters.claims_granted
         : done.state == ClaimState::seen              ? node.counters.claims_seen
                                                       : node.counters.claims_unknown;
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -77,7 +77,7 @@
     line("proof_age_microseconds", proof_age(now));
     line("losses_borne", losses_bearable.count.load());
     line("losses_borne_for_microseconds", now - losses_bearable.since.load());
-    measures.write(text);
+    latency_metrics.write(text);
     write_machine(text, limits, process_use());
     if (message_memory.most() != MemoryBudget::unlimited) line("message_memory_limit_bytes", message_memory.most());
     line("message_memory_bytes", message_memory.used());
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -65,7 +65,7 @@
         if (!bytes.empty()) note_output();
         if (!bytes.empty() || finished) {
             if (!answer.head_sent)
-                node.measures.first_pieces.of(course.ticket).add(clock_now() - course.ticket.arrived_at);
+                node.latency_metrics.first_pieces.of(course.ticket).add(clock_now() - course.ticket.arrived_at);
             answer.head_sent = true;
             facts.received = Received::cut_after_output;
             facts.output_resumable = route.resumable && answer.chunked;
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -51,7 +51,7 @@
     LossTolerance losses_bearable;  // looked at inside control_work
     SnapshotHolder snapshot;
     Counters counters;
-    LatencyMetrics measures;
+    LatencyMetrics latency_metrics;
     UpdateMetrics sight;
     AdmissionTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
     std::atomic<std::uint64_t> next_request_number{1};
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -60,7 +60,7 @@
     disk_busy_since = began;
     auto const good = work();
     disk_busy_since = 0;
-    measures.sync.add(clock_now() - began);
+    latency_metrics.sync.add(clock_now() - began);
     if (!good) ++counters.disk_failures;
     disk_failed = !good;
     return good;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -56,7 +56,7 @@
     }
     if (end == TryEnd::answered) {
         ++counters.answered;
-        measures.whole_answers.of(ticket).add(now - ticket.arrived_at);
+        latency_metrics.whole_answers.of(ticket).add(now - ticket.arrived_at);
     }
     if (end == TryEnd::broken_after) ++counters.broken;
     if (end == TryEnd::caller_gone) ++counters.callers_gone;
