--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -51,8 +51,8 @@
     empty->rules = std::make_shared<Rules>();
     snapshot = empty;
     control_work.start();
-    ticket_works = std::vector<WorkQueue>(static_cast<std::size_t>(settings.workers));
-    for (auto& work : ticket_works) work.start();
+    interpreter_queues = std::vector<WorkQueue>(static_cast<std::size_t>(settings.workers));
+    for (auto& work : interpreter_queues) work.start();
     auto const problem = transport.begin_reading(settings.fleet, [this](Frame&& frame) {
         auto message = read_message(frame.body);
         if (!message) {
@@ -76,9 +76,9 @@
 
 // To a queue that nobody is at, where there is one.
 auto Node::interpret_in_turn(Work work) -> void {
-    for (auto& queue : ticket_works)
+    for (auto& queue : interpreter_queues)
         if (queue.idle()) return queue.put(std::move(work));
-    ticket_works[next_ticket_work++ % ticket_works.size()].put(std::move(work));
+    interpreter_queues[next_ticket_work++ % interpreter_queues.size()].put(std::move(work));
 }
 
 auto Node::apply_output(ControlOutput output) -> void {
--- a/tests/product_refusal_test.cpp
+++ b/tests/product_refusal_test.cpp
@@ -27,8 +27,8 @@
     auto caller = tcp::socket(context);
     caller.connect(door.local_endpoint());
     auto const node = std::make_unique<Node>();
-    node->ticket_works = std::vector<WorkQueue>(1);
-    node->ticket_works.front().start();
+    node->interpreter_queues = std::vector<WorkQueue>(1);
+    node->interpreter_queues.front().start();
     auto fresh = std::make_shared<Snapshot>();
     fresh->rules = compile_rules({1, 1}, tree());
     node->snapshot = fresh;
