--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -13,7 +13,7 @@
         if (!state.entry.address.empty() && state.entry.address != entry.address) {
             state.report.reset();  // another process under this name: asked before use
             state.kept.clear();
-            state.kept_unsure = true;
+            state.cache_unknown = true;
         }
         if (state.seed == 0) tell_of(entry.name, state);
         state.entry = entry;
@@ -36,7 +36,7 @@
     auto const other_weights = state.report && state.report->weights != report.weights;
     if (restarted || other_weights) {
         state.kept.clear();
-        state.kept_unsure = false;
+        state.cache_unknown = false;
         state.next_event = restarted ? 0 : state.next_event;
     }
     if (report.first_event > state.next_event) {  // a gap: what we hold may be gone, so it does not count
@@ -51,7 +51,7 @@
         else if (event.kind == "cleared") state.kept.clear();
     }
     state.next_event = std::max(state.next_event, report.next_event);
-    state.kept_unsure = report.changing;
+    state.cache_unknown = report.changing;
     state.report = report;
     state.report->events.clear();
     state.reported_at = asked_at;
@@ -67,7 +67,7 @@
     if (found == replicas.end()) return;
     found->second.unreachable = true;
     found->second.unreachable_until = now + options.unreachable_pause;
-    found->second.kept_unsure = true;
+    found->second.cache_unknown = true;
 }
 
 auto ReplicaLoadTable::take_digest(
@@ -168,7 +168,7 @@
         }
         return tokens;
     }
-    if (state.kept_unsure || !state.report) return 0;
+    if (state.cache_unknown || !state.report) return 0;
     auto best = std::int64_t{0};
     auto tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
@@ -192,7 +192,7 @@
     }
     state.report->changing = loading;
     state.report->free_memory = state.entry.memory;
-    state.kept_unsure = false;
+    state.cache_unknown = false;
 }
 
 // A replica's own word that it did not run something, and why.
@@ -203,7 +203,7 @@
     if (reason == "busy" || reason == "memory") state.paused_until = now + options.refused_pause;
     if ((reason == "weights" || reason == "restarted") && state.report) {
         state.report->changing = true;  // until it says what it serves
-        state.kept_unsure = true;
+        state.cache_unknown = true;
     }
 }
 
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -89,7 +89,7 @@
     Microseconds unreachable_until = 0;
     bool unreachable = false;
     std::set<std::uint64_t> kept;  // prefix chains, under the reported weights
-    bool kept_unsure = true;
+    bool cache_unknown = true;
     std::unordered_map<std::uint64_t, std::uint64_t> parts;  // kept single parts, by part and weights -> weights
     std::uint64_t weights_hash = 0;                          // hash of the weights it holds now
     std::uint64_t next_event = 0;
