--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -41,7 +41,7 @@
         flying_change = last_change;
     else if (committed && committed->sequence < copy.sequence) flying_change = change_between(*committed, flying);
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
-    flown_at = context.now;
+    replication_sent_at = context.now;
     sent_flight = false;
     settle(context);
 }
@@ -60,7 +60,7 @@
     if (synced < flying.sequence) return;
     if (!sent_flight) {
         sent_flight = true;
-        flown_at = context.now;
+        replication_sent_at = context.now;
         send_flight(context);
     }
     if (!all_have(flying.sequence)) return;
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -102,7 +102,7 @@
 }
 
 auto Partition::send_claims(Context& context) -> void {
-    claims.flown_at = context.now;
+    claims.replication_sent_at = context.now;
     for (auto const& follower : votes.decided.followers)
         if (!claims.landed.contains(follower))
             context.sends.push_back(
@@ -158,7 +158,8 @@
     std::erase_if(claims.waiters, [&](auto const& waiter) { return context.now - waiter.since > claim_wait_limit; });
     if (!is_leader(context.self) || !healthy || disk_late(context.now)) return;
     if (!has_lease(context.self, context.now)) return;
-    if (claims.flying && context.now - claims.flown_at > times.resend_interval && votes.sealed < votes.decided.term)
+    if (claims.flying && context.now - claims.replication_sent_at > times.resend_interval &&
+        votes.sealed < votes.decided.term)
         send_claims(context);
     push_claims(context);
 }
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -43,7 +43,7 @@
     bool whole_flies = false;
     bool whole_needed = true;  // an follower may lack some
     std::uint64_t flight_number = 0;
-    Microseconds flown_at = 0;
+    Microseconds replication_sent_at = 0;
     std::string replication_batch;
     struct Waiter {
         std::string origin;
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -103,8 +103,8 @@
 }
 
 auto Partition::resend_flight(Context& context) -> void {
-    if (!in_flight || !leased_lately(context.now) || context.now - flown_at <= times.resend_interval) return;
-    flown_at = context.now;
+    if (!in_flight || !leased_lately(context.now) || context.now - replication_sent_at <= times.resend_interval) return;
+    replication_sent_at = context.now;
     sent_flight = false;
     settle(context);
 }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -89,7 +89,7 @@
     bool sent_flight = false;
     Copy flying;
     std::optional<CopyChange> flying_change;  // on top of what was committed before; else the snapshot is sent
-    Microseconds flown_at = 0;
+    Microseconds replication_sent_at = 0;
     struct FollowerProgress {
         Microseconds heard = 0;
         Sequence has;
