--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -85,7 +85,7 @@
     std::atomic<Microseconds> awake_until{0};  // a ticket woke this node
     Orders orders;                             // inside control_work
     ListPolling list_polling;                  // inside control_work; its bounds are set once
-    WeightsController weights_duty;            // inside control_work
+    WeightsController weights_controller;      // inside control_work
     std::atomic<bool> weights_under_way{false};
     std::mutex report_lock;
     std::map<std::string, ReplicaReport> reports;  // under report_lock
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -54,10 +54,10 @@
 
 auto Node::step_weights() -> void {
     auto const now = clock_now();
-    auto due = weights_duty.step(control, *snapshot.load(), now);
+    auto due = weights_controller.step(control, *snapshot.load(), now);
     weights_under_way = due.under_way;
     tell_notes(due);
-    auto const figures = weights_duty.figures(now);
+    auto const figures = weights_controller.figures(now);
     counters.weights_behind = figures.behind;
     counters.weights_overdue = figures.overdue;
     counters.weights_oldest = static_cast<std::uint64_t>(figures.oldest / one_millisecond);
@@ -71,9 +71,9 @@
 auto Node::weights_loop() -> awaitable<void> {
     if (settings.data_folder.empty()) co_return;  // the duty lies with the core
     in_control([this] {
-        weights_duty.at_once = static_cast<std::size_t>(settings.weights_at_once);
-        weights_duty.bound = settings.bounds.weights;
-        weights_duty.wait = settings.bounds.lease + holder_margin;
+        weights_controller.at_once = static_cast<std::size_t>(settings.weights_at_once);
+        weights_controller.bound = settings.bounds.weights;
+        weights_controller.wait = settings.bounds.lease + holder_margin;
     });
     while (!finished) {
         co_await pause((weights_under_way ? 25 : 200) * one_millisecond);
@@ -126,7 +126,7 @@
             "replica", order.order.replica, "model", order.model, "version", order.order.version, "fence", order.fence,
             "status", status, "end", std::string(order_end_names[static_cast<std::size_t>(end)])));
     in_control([this, order = std::move(order), end] {
-        weights_duty.order_ended(order, end, clock_now());
+        weights_controller.order_ended(order, end, clock_now());
         step_weights();
     });
 }
@@ -146,7 +146,7 @@
         ++counters.weights_report_failures;
     }
     in_control([this, asked = std::move(asked), report, asked_at] {
-        weights_duty.reported(asked, report, asked_at, clock_now());
+        weights_controller.reported(asked, report, asked_at, clock_now());
         step_weights();
     });
 }
