--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -10,7 +10,7 @@
     auto& load_table = table.scheduler.load_table;
     auto const number = static_cast<std::uint64_t>(now);
     auto const relayed = load_table.relayed;
-    auto body = relayed ? load_table.make_told(number, now) : load_table.make_digest(now);
+    auto body = relayed ? load_table.make_load_report(number, now) : load_table.make_digest(now);
     auto relay = load_table.summed.relay;
     auto const held = load_table.summed.number;
     guard.unlock();
--- a/source/ticket/replica_load_summed.cpp
+++ b/source/ticket/replica_load_summed.cpp
@@ -10,7 +10,7 @@
 constexpr auto words_kept = std::size_t{16};
 }
 
-auto ReplicaLoadTable::make_told(std::uint64_t number, Microseconds now) -> std::string {
+auto ReplicaLoadTable::make_load_report(std::uint64_t number, Microseconds now) -> std::string {
     Loads told;
     for (auto& [name, item] : own_load(now))
         told.push_back(
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -185,7 +185,7 @@
     auto report_failed(std::string const& name, Microseconds now) -> void;
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
     auto make_digest(Microseconds now) -> std::string;
-    auto make_told(std::uint64_t number, Microseconds now) -> std::string;
+    auto make_load_report(std::uint64_t number, Microseconds now) -> std::string;
     auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
     // `unread`: tokens of the prompt that the replica has to read itself.
     auto place(
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -210,7 +210,7 @@
         table.fleet_nodes = node.control.nodes_placing();
         if (table.relayed)
             return node.control.report_load(
-                now, number, table.make_told(number, now), table.summed.relay, table.summed.number);
+                now, number, table.make_load_report(number, now), table.summed.relay, table.summed.number);
         return node.control.digest(table.make_digest(now), number, node.snapshot->resting);
     });
 }
--- a/tests/load_net.hpp
+++ b/tests/load_net.hpp
@@ -63,7 +63,7 @@
         auto& node = nodes[index];
         node.told_at = now;
         auto const number = static_cast<std::uint64_t>(now);
-        auto body = node.table.make_told(number, now);
+        auto body = node.table.make_load_report(number, now);
         std::vector<Member> cores;
         for (auto const& relay : relays) cores.push_back(relay.self);  // membership has noticed nothing
         auto const* chosen = node.choice.choose(node.self, cores, now);
--- a/tests/load_relay_test.cpp
+++ b/tests/load_relay_test.cpp
@@ -135,7 +135,7 @@
         if (table.has_room(state, 20 * one_second)) break;
     }
     table.place("r0", make_ticket(1), 1, 20 * one_second);
-    auto const word = table.make_told(static_cast<std::uint64_t>(20 * one_second + 10), 20 * one_second + 10);
+    auto const word = table.make_load_report(static_cast<std::uint64_t>(20 * one_second + 10), 20 * one_second + 10);
     CHECK_FALSE(table.has_room(state, 20 * one_second + 20));  // told, but not heard back
     CHECK(read_loads(word)->size() == 1);
 }
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -100,7 +100,7 @@
     CHECK(hearer.load_table.unread(hearer.load_table.replicas.at("r0"), 30) == 6'400);
     auto summed = make_by_work(2);
     summed.load_table.relayed = true;
-    auto const told = teller.load_table.make_told(5, 20);
+    auto const told = teller.load_table.make_load_report(5, 20);
     summed.load_table.take_sum("relay", LoadSumUpdate{1, 0, 0, 0, 1, told}, 30);
     CHECK(summed.load_table.unread(summed.load_table.replicas.at("r0"), 40) == 6'400);
 }
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -113,7 +113,7 @@
                                : control.report_load(now, number, write_loads({}), "", 0));
     }
     if (!load_table.relayed) return world.act(index, control.digest(load_table.make_digest(now), number, {}));
-    auto body = load_table.make_told(number, now);
+    auto body = load_table.make_load_report(number, now);
     world.act(
         index, control.report_load(now, number, std::move(body), load_table.summed.relay, load_table.summed.number));
 }
