--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -67,7 +67,7 @@
     ++node.counters.tickets;
     auto const now = clock_now();
     node.last_ticket = now;
-    if (auto const entry_ends = node.entry_ends.load(); entry_ends != 0 && now > entry_ends) {
+    if (auto const admission_ends = node.admission_ends.load(); admission_ends != 0 && now > admission_ends) {
         ++node.counters.refused;
         co_return co_await refuse(request, 503, "this node stops", soon);
     }
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -61,8 +61,9 @@
     bool control_listens = false;
     bool stop_asked = false;  // by a signal during the start
     std::atomic<bool> stopping{false};
-    std::atomic<Microseconds> entry_ends{0};  // stopping: a request that is read later than this is refused; 0: none
-    std::atomic<bool> closing{false};         // stopping, and the notice is over: nothing new is taken
+    std::atomic<Microseconds> admission_ends{
+        0};                            // stopping: a request that is read later than this is refused; 0: none
+    std::atomic<bool> closing{false};  // stopping, and the notice is over: nothing new is taken
     std::atomic<bool> finished{false};
     std::atomic<bool> resting_now{false};
     std::atomic<bool> disk_loaded{false};  // the data folder's contents are known and written back
--- a/tests/kept_connection_test.cpp
+++ b/tests/kept_connection_test.cpp
@@ -81,7 +81,7 @@
         session.say(post("first"));
         REQUIRE(session.hear("text-of-first"));
         session.wire.node->stopping = true;
-        session.wire.node->entry_ends = clock_now() + (late ? -1 : one_second);
+        session.wire.node->admission_ends = clock_now() + (late ? -1 : one_second);
         session.say(post("second"));
         CHECK(session.hear(late ? "503" : "text-of-second"));
         CHECK(session.answers("Connection: close") == 1);
--- a/tests/refusal_wire_test.cpp
+++ b/tests/refusal_wire_test.cpp
@@ -29,7 +29,7 @@
              {"no configuration", no_rules, false},
              {"no place", loading, false},
              {"no replica", no_replica, false},
-             {"a node that stops", [](Node& node) { node.entry_ends = 1; }, false},
+             {"a node that stops", [](Node& node) { node.admission_ends = 1; }, false},
              {"turned away by the replica", [](Node&) {}, true}}) {
         INFO(item.what);
         auto requests = 0;
