--- a/source/process/wire_protocol.hpp
+++ b/source/process/wire_protocol.hpp
@@ -94,7 +94,7 @@
     std::function<HttpCall(std::uint64_t since, Microseconds wait)> events_call;
     std::function<std::optional<CacheEvents>(std::string_view body)> read_events;
     std::function<HttpCall()> kept_call;
-    std::function<std::optional<CacheEvents>(std::string_view body)> read_kept;  // all that is kept, as events
+    std::function<std::optional<CacheEvents>(std::string_view body)> read_cache;  // all that is kept, as events
 };
 
 }  // namespace dockrock
--- a/tests/platform/calls_test.cpp
+++ b/tests/platform/calls_test.cpp
@@ -149,13 +149,13 @@
     CHECK(call.headers[0] == std::pair<std::string, std::string>("Wait-Ms", "1000"));
     CHECK(calls::events_call(0, 0).headers.empty());
 
-    auto const kept = calls::read_kept(kept_body);
+    auto const kept = calls::read_cache(kept_body);
     REQUIRE(kept);
     CHECK(kept->next == 120);
     REQUIRE(kept->events.size() == 1);
     CHECK(kept->events[0].kept);
     CHECK(kept->events[0].part == "aa01");
     CHECK(kept->events[0].tokens == 800);
-    cut_bodies_are_unreadable(kept_body, calls::read_kept);
+    cut_bodies_are_unreadable(kept_body, calls::read_cache);
     CHECK(calls::kept_call().target == "/-/kv-list");
 }
