--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -145,7 +145,7 @@
 auto Control::take_copy(Microseconds now, PartitionView& item, UpdateAnswer const& answer, ControlOutput& output)
     -> void {
     if (!answer.copy || !(answer.copy->sequence > item.copy.sequence)) return;  // never back to an older one
-    auto made = apply_news(item, *answer.copy);
+    auto made = apply_update(item, *answer.copy);
     item.whole_wanted = !made.has_value();
     if (!made) return;
     remember(item);
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -57,7 +57,7 @@
     return made;
 }
 
-auto apply_news(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string> {
+auto apply_update(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string> {
     auto made = news.whole ? std::optional(news.text) : apply_edits(item.copy.document, news.edits);
     if (!made || digest_of(*made) != news.digest) return std::nullopt;
     return made;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -28,7 +28,7 @@
          {std::string(10'000, 'a') + "other" + std::string(10'000, 'b'), base + "tail", "head" + base, base.substr(5),
           std::string(20'000, 'a'), std::string(), base + base}) {
         auto const news = copy_for(next_of(asker, fresh), ask);
-        CHECK(apply_news(asker, news) == fresh);
+        CHECK(apply_update(asker, news) == fresh);
         CHECK(news.text.size() + size_of(news.edits) <= fresh.size());
     }
     CHECK_FALSE(copy_for(next_of(asker, base + "tail"), ask).whole);
@@ -49,11 +49,11 @@
         return ask;
     }());
     REQUIRE_FALSE(news.whole);
-    CHECK_FALSE(apply_news(held(std::string(1'000, 'x')), news).has_value());
-    CHECK_FALSE(apply_news(held(std::string(10, 'a')), news).has_value());
+    CHECK_FALSE(apply_update(held(std::string(1'000, 'x')), news).has_value());
+    CHECK_FALSE(apply_update(held(std::string(10, 'a')), news).has_value());
     auto bad = news;
     bad.edits.front().kept = ~std::uint64_t{0};
-    CHECK_FALSE(apply_news(held(std::string(1'000, 'a')), bad).has_value());
+    CHECK_FALSE(apply_update(held(std::string(1'000, 'a')), bad).has_value());
 }
 
 TEST_CASE("a storm of changes to a tree near 1 MiB is in force everywhere within two seconds, as differences") {
