--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -15,15 +15,15 @@
 
 auto pass_by(PartitionView& item, bool answered) -> void {
     if (item.ask_token == 0) return;
-    item.past_asks.push_back({item.ask_token, item.asked_whom, item.asked_at, answered});
-    if (item.past_asks.size() > asks_kept) item.past_asks.pop_front();
+    item.past_requests.push_back({item.ask_token, item.asked_whom, item.asked_at, answered});
+    if (item.past_requests.size() > asks_kept) item.past_requests.pop_front();
     item.ask_token = 0;
 }
 
 auto past_ask(PartitionView& item, std::uint64_t token) -> PastRequest* {
-    auto const found =
-        std::find_if(item.past_asks.begin(), item.past_asks.end(), [&](auto const& ask) { return ask.token == token; });
-    return found == item.past_asks.end() ? nullptr : &*found;
+    auto const found = std::find_if(
+        item.past_requests.begin(), item.past_requests.end(), [&](auto const& ask) { return ask.token == token; });
+    return found == item.past_requests.end() ? nullptr : &*found;
 }
 
 auto remember(PartitionView& item) -> void {
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -75,8 +75,8 @@
     Microseconds direct_until = 0;  // the owner is asked, not the relay
     Microseconds asked_at = 0;
     std::string asked_whom;
-    std::deque<PastRequest> past_asks;  // the last few questions that are no longer waited for
-    std::uint64_t told_term = 0;        // as leader: the term that all members were told of
+    std::deque<PastRequest> past_requests;  // the last few questions that are no longer waited for
+    std::uint64_t told_term = 0;            // as leader: the term that all members were told of
     int unanswered = 0;
 };
 
