--- a/source/connection/node_call.cpp
+++ b/source/connection/node_call.cpp
@@ -41,7 +41,7 @@
                 asio::post(
                     executor, [shared, done = std::move(done)]() mutable { std::move (*shared)(std::move(done)); });
             };
-            if (call.operation == "form-anew") node.form_anew(std::move(told));
+            if (call.operation == "form-anew") node.recover_fleet(std::move(told));
             else node.make_call(std::move(call), std::move(told));
         },
         asio::use_awaitable);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -108,7 +108,7 @@
         -> ControlOutput;
     auto saved(Microseconds now, std::uint64_t token, bool ok) -> ControlOutput;
     auto call(Microseconds now, std::uint64_t local_token, Call const& asked) -> ControlOutput;
-    auto form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput;
+    auto recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput;
     auto claim(Microseconds now, std::uint64_t local_token, ClaimAsk ask) -> ControlOutput;
     // A partition's live text, as its reader or leader knows it now (design 8.4 and 11).
     auto live_read(int partition, Microseconds now, Microseconds asked_at, std::string const& text) -> ControlOutput;
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -32,7 +32,7 @@
     return "";
 }
 
-auto Control::form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput {
+auto Control::recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
     auto const busy = anew.has_value();
     auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_parts(), 0};
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -127,7 +127,7 @@
     auto report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
     auto judge_load(Microseconds now) -> void;                                       // whether it goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
-    auto form_anew(std::function<void(CallDone)> done) -> void;
+    auto recover_fleet(std::function<void(CallDone)> done) -> void;
     auto make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
     auto release(std::string const& replica, std::uint64_t ticket) -> void;
     auto try_ended(
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -94,12 +94,12 @@
         !current->list.replicas.empty();
 }
 
-auto Node::form_anew(std::function<void(CallDone)> done) -> void {
+auto Node::recover_fleet(std::function<void(CallDone)> done) -> void {
     in_control([this, done = std::move(done)] {
         auto const token = control.random.next() | 1U;
         call_waiters[token] = done;
         write_log(Level::warning, "form-anew-ordered", {});
-        apply_output(control.form_anew(clock_now(), token));
+        apply_output(control.recover_fleet(clock_now(), token));
     });
 }
 
--- a/tests/anew_test.cpp
+++ b/tests/anew_test.cpp
@@ -10,7 +10,7 @@
     auto const token = world.next_call++;
     world.call_results[token] = [status](CallDone const& done) { *status = done.status; };
     auto& node = *world.nodes[index];
-    world.act(index, node.control.form_anew(world.local(node), token));
+    world.act(index, node.control.recover_fleet(world.local(node), token));
     world.run_until_true([&] { return *status != 0; }, 15 * one_second);
     return *status;
 }
