--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -71,7 +71,7 @@
     for (auto const& key : claims.saving) {
         if (auto const found = claims.held.find(key); found != claims.held.end())
             found->second.synced = !claims.fresh.contains(key);
-        claims.to_fly.insert(key);
+        claims.to_replicate.insert(key);
     }
     claims.saving.clear();
     push_claims(context);
@@ -83,10 +83,10 @@
 auto Partition::fly_claims(Context& context) -> void {
     if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.replicating_claims.clear();
-    for (auto const& key : claims.to_fly)
+    for (auto const& key : claims.to_replicate)
         if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
     if (claims.replicating_claims.empty() && !claims.whole_needed) return;
-    for (auto const& key : claims.replicating_claims) claims.to_fly.erase(key);
+    for (auto const& key : claims.replicating_claims) claims.to_replicate.erase(key);
     claims.whole_flies = claims.whole_needed;
     claims.replication_batch.clear();
     if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
@@ -170,7 +170,7 @@
     claims.flying = false;
     if (!is_leader(context.self)) return claims.stand_back();
     claims.whole_needed = true;
-    for (auto const& key : claims.replicating_claims) claims.to_fly.insert(key);
+    for (auto const& key : claims.replicating_claims) claims.to_replicate.insert(key);
     claims.replicating_claims.clear();
 }
 
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -57,7 +57,7 @@
 }
 
 auto ClaimTable::settled(std::string const& key) const -> bool {
-    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
+    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_replicate.contains(key) &&
         !replicating_claims.contains(key);
 }
 
@@ -70,7 +70,7 @@
 auto ClaimTable::stand_back() -> void {
     drop_fresh();
     waiters.clear();
-    to_fly.clear();
+    to_replicate.clear();
     replicating_claims.clear();
     flying = false;
     whole_needed = true;
