--- a/source/ticket/replica_load_summed.cpp
+++ b/source/ticket/replica_load_summed.cpp
@@ -18,8 +18,8 @@
              {item.count, item.slots, item.memory, item.recent, 0, 1, 0, 0,
               (item.unread + tokens_in_unread - 1) / tokens_in_unread, item.ended, item.failed}});
     auto text = write_loads(told);
-    own_told.emplace_back(number, std::move(told));
-    if (own_told.size() > words_kept) own_told.pop_front();
+    own_reports.emplace_back(number, std::move(told));
+    if (own_reports.size() > words_kept) own_reports.pop_front();
     return text;
 }
 
@@ -36,8 +36,8 @@
     summed.at = now;
     summed.loads = std::move(*loads);
     auto const own =
-        std::find_if(own_told.begin(), own_told.end(), [&](auto const& item) { return item.first == told.echo; });
-    auto const counted = own != own_told.end() && !own->second.empty();
+        std::find_if(own_reports.begin(), own_reports.end(), [&](auto const& item) { return item.first == told.echo; });
+    auto const counted = own != own_reports.end() && !own->second.empty();
     summed.nodes = std::max<std::int64_t>(0, told.nodes - (counted ? 1 : 0));
     auto item = summed.loads.begin();
     for (auto& [name, state] : replicas) {  // both in the order of names
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -167,7 +167,7 @@
     bool relayed = false;
     std::int64_t fleet_nodes = 1;  // held alive, for as long as no relay says more
     Summed summed;
-    std::deque<std::pair<std::uint64_t, Loads>> own_told;
+    std::deque<std::pair<std::uint64_t, Loads>> own_reports;
 
     ReplicaLoadTable() = default;
     ReplicaLoadTable(ReplicaLoadTable&&) = default;  // `pools` points into `replicas`: moved, never copied
