--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -98,8 +98,8 @@
     std::array<std::atomic<std::uint64_t>, partition_count> fences_sent{};  // the highest of each
     std::unique_ptr<tcp::acceptor> acceptor;                                // on accept_strand alone, once running
     asio::strand<asio::io_context::executor_type> accept_strand{context.get_executor()};
-    ReplicaPool pool;                                     // on the one thread of a relaying node
-    std::array<std::unique_ptr<tcp::acceptor>, 3> doors;  // by RelayListener
+    ReplicaPool pool;                                               // on the one thread of a relaying node
+    std::array<std::unique_ptr<tcp::acceptor>, 3> relay_acceptors;  // by RelayListener
     std::vector<std::thread> threads;
     std::thread disk_thread;
     std::promise<void> disk_ended;  // set by the disk's thread
--- a/source/process/node_listen.cpp
+++ b/source/process/node_listen.cpp
@@ -40,8 +40,8 @@
     if (auto failure = listen_at(settings.http_address, acceptor)) return failure;
     auto const& addresses =
         std::to_array({&settings.front_address, &settings.ready_address, &settings.operator_address});
-    for (auto door = std::size_t{0}; door < doors.size(); ++door)
-        if (auto failure = listen_at(*addresses[door], doors[door])) return failure;
+    for (auto door = std::size_t{0}; door < relay_acceptors.size(); ++door)
+        if (auto failure = listen_at(*addresses[door], relay_acceptors[door])) return failure;
     return std::nullopt;
 }
 
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -123,9 +123,10 @@
     spawn_essential(asio::make_strand(context), order_loop());
     spawn_essential(asio::make_strand(context), rest_loop());
     spawn_essential(accept_strand, accept_loop());
-    for (auto door = std::size_t{0}; door < doors.size(); ++door)
-        if (doors[door])
-            spawn_essential(context.get_executor(), relay_accept(*doors[door], static_cast<RelayListener>(door)));
+    for (auto door = std::size_t{0}; door < relay_acceptors.size(); ++door)
+        if (relay_acceptors[door])
+            spawn_essential(
+                context.get_executor(), relay_accept(*relay_acceptors[door], static_cast<RelayListener>(door)));
     if (form != nullptr) {
         spawn_essential(context.get_executor(), sweep_loop());
         spawn_essential(context.get_executor(), parts_manager());
@@ -171,7 +172,7 @@
     asio::post(accept_strand, [this] {
         boost::system::error_code ignored;
         acceptor->close(ignored);
-        for (auto& door : doors)
+        for (auto& door : relay_acceptors)
             if (door) door->close(ignored);
     });
     auto quiet = 0;
