--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -66,7 +66,7 @@
 auto RelaySession::handle(HttpRequest const& request) -> awaitable<bool> {
     ++node.counters.tickets;
     auto const now = clock_now();
-    node.last_ticket = now;
+    node.last_request_at = now;
     if (auto const admission_ends = node.admission_ends.load(); admission_ends != 0 && now > admission_ends) {
         ++node.counters.refused;
         co_return co_await refuse(request, 503, "this node stops", soon);
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -160,7 +160,7 @@
         co_await wait_for(std::chrono::milliseconds(50));
     auto const proven = node.proven_at.load();
     auto [verdict, current] = co_await interpret_now(request);
-    node.last_ticket = clock_now();
+    node.last_request_at = clock_now();
     if (verdict.kind == Verdict::Kind::answer) {
         if (!node.may_refuse(proven) || !node.refusal_leaves(verdict.status))
             co_return co_await shed(request, "not-fresh", 1);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -74,7 +74,7 @@
     std::atomic<int> client_connections{0};  // at the door of clients
     std::uint64_t most_client_connections = no_limit;
     std::atomic<int> open_requests{0};  // read or being read, not yet answered
-    std::atomic<Microseconds> last_ticket{0};
+    std::atomic<Microseconds> last_request_at{0};
     std::atomic<bool> tick_waiting{false};
     Microseconds started_at = 0;
     std::map<std::uint64_t, std::function<void(ClaimDone)>> claim_waiters;  // inside control_work
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -106,7 +106,7 @@
             auto const guard = std::lock_guard(table.lock);
             table.scheduler.load_table.report_failed(name, clock_now());
         }
-        auto const busy = clock_now() - last_ticket < 10 * one_second;
+        auto const busy = clock_now() - last_request_at < 10 * one_second;
         auto const idle_pause = settings.data_folder.empty() ? 2'000 : 1'000;  // the core follows roll-outs
         co_await pause((resting_now ? 5'000 : busy ? 250 : idle_pause) * one_millisecond);
     }
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -52,7 +52,7 @@
 auto Node::tick_milliseconds() const -> int {
     if (resting_now) return 250;
     auto const relays_load = load_relayed && !settings.data_folder.empty();
-    if (clock_now() - last_ticket < 2 * one_second || stopping || relays_load) return 25;
+    if (clock_now() - last_request_at < 2 * one_second || stopping || relays_load) return 25;
     return settings.data_folder.empty() ? 100 : 50;
 }
 
@@ -71,7 +71,7 @@
         if (table.scheduler.waiting_count() > 0) schedule_locked(now);
         auto const& options = table.scheduler.options;
         auto const interval = table.scheduler.load_table.relayed ? options.relayed_interval : options.digest_interval;
-        auto const due = now - last_digest >= interval && now - last_ticket < 12 * one_second;
+        auto const due = now - last_digest >= interval && now - last_request_at < 12 * one_second;
         if (!due) continue;
         last_digest = now;
         report_load(now, std::move(guard));
