--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-inline constexpr auto wall_names = std::to_array<std::string_view>({"shared", "group", "isolated"});
+inline constexpr auto isolation_names = std::to_array<std::string_view>({"shared", "group", "isolated"});
 inline constexpr auto whole_fleet = std::string_view("fleet");
 inline constexpr auto deepest_branch = 16;
 inline constexpr auto most_tenants = std::size_t{4'096};
@@ -52,14 +52,14 @@
         -> Inherited {
         name(branch.name, path);
         if (branch.wall) {
-            auto const found = std::find(wall_names.begin(), wall_names.end(), *branch.wall);
-            if (found == wall_names.end()) {
+            auto const found = std::find(isolation_names.begin(), isolation_names.end(), *branch.wall);
+            if (found == isolation_names.end()) {
                 problem(path + "/wall", "must be shared, group or isolated");
-            } else if (auto const wall = static_cast<Isolation>(found - wall_names.begin()); wall < from.wall) {
+            } else if (auto const wall = static_cast<Isolation>(found - isolation_names.begin()); wall < from.wall) {
                 problem(
                     path + "/wall",
                     "walls only tighten downward: a branch above sets " +
-                        std::string(wall_names[static_cast<std::size_t>(from.wall)]));
+                        std::string(isolation_names[static_cast<std::size_t>(from.wall)]));
             } else {
                 if (wall == Isolation::group) from.isolation_domain = group_domain(tree_path);
                 from.wall = wall;
