--- a/source/process/wire_protocol.hpp
+++ b/source/process/wire_protocol.hpp
@@ -93,7 +93,7 @@
     std::function<HttpCall(WeightsOrder const& order)> order_call;
     std::function<HttpCall(std::uint64_t since, Microseconds wait)> events_call;
     std::function<std::optional<CacheEvents>(std::string_view body)> read_events;
-    std::function<HttpCall()> kept_call;
+    std::function<HttpCall()> cache_call;
     std::function<std::optional<CacheEvents>(std::string_view body)> read_cache;  // all that is kept, as events
 };
 
--- a/tests/platform/calls_test.cpp
+++ b/tests/platform/calls_test.cpp
@@ -157,5 +157,5 @@
     CHECK(kept->events[0].part == "aa01");
     CHECK(kept->events[0].tokens == 800);
     cut_bodies_are_unreadable(kept_body, calls::read_cache);
-    CHECK(calls::kept_call().target == "/-/kv-list");
+    CHECK(calls::cache_call().target == "/-/kv-list");
 }
