--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -229,7 +229,7 @@
     auto take_anew(std::vector<HeldPartition> const& told) -> void;
     auto send_anew(Microseconds now, ControlOutput& output) -> void;
     auto tick_anew(Microseconds now, ControlOutput& output) -> void;
-    auto end_anew(int status, std::string_view what, ControlOutput& output) -> void;
+    auto end_recovery(int status, std::string_view what, ControlOutput& output) -> void;
     auto old_voter_alive(std::vector<HeldPartition> const& held) const -> std::string;
     auto ask_feed(Microseconds now, ControlOutput& output) -> void;
     auto take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output) -> void;
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -70,7 +70,7 @@
     }
 }
 
-auto Control::end_anew(int status, std::string_view what, ControlOutput& output) -> void {
+auto Control::end_recovery(int status, std::string_view what, ControlOutput& output) -> void {
     auto const* name = status == 200 ? "state" : "error";
     output.results.push_back({"", anew->local_token, status, json::serialize(fields(name, std::string(what))), ""});
     anew.reset();
@@ -80,16 +80,18 @@
     if (!anew) return;
     if (anew->term != 0) {
         auto const& record = best_record(configuration_partition);
-        if (record.term > anew->term && !record.leader.empty()) return end_anew(200, "formed anew", output);
+        if (record.term > anew->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
         if (now - anew->sent_at > send_interval) send_anew(now, output);  // the last one may be lost
-        if (now - anew->since > forming_limit) end_anew(504, "not formed yet; look at the status, order again", output);
+        if (now - anew->since > forming_limit)
+            end_recovery(504, "not formed yet; look at the status, order again", output);
         return;
     }
     if (!anew->silent.empty() && now - anew->since < gather_limit) return;
     if (auto const voter = old_voter_alive(anew->best); !voter.empty())
-        return end_anew(409, "core node " + voter + " of the fleet that was still answers; nothing was done", output);
+        return end_recovery(
+            409, "core node " + voter + " of the fleet that was still answers; nothing was done", output);
     auto cores = membership.alive_members(true);
-    if (cores.empty()) return end_anew(409, "no core node is there; nothing was done", output);
+    if (cores.empty()) return end_recovery(409, "no core node is there; nothing was done", output);
     std::sort(cores.begin(), cores.end(), [](auto const& left, auto const& right) {
         return left.control_address < right.control_address;
     });
