--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -36,10 +36,10 @@
     // never give one sequence to two changes (design 5.4).
     in_flight = true;
     flying = copy;
-    flying_change.reset();
+    replicating_change.reset();
     if (last_change && committed && last_change->base == committed->sequence && last_change->sequence == copy.sequence)
-        flying_change = last_change;
-    else if (committed && committed->sequence < copy.sequence) flying_change = change_between(*committed, flying);
+        replicating_change = last_change;
+    else if (committed && committed->sequence < copy.sequence) replicating_change = change_between(*committed, flying);
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
     replication_sent_at = context.now;
     sent_flight = false;
@@ -49,8 +49,8 @@
 auto Partition::send_flight(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
         if (follower.has >= flying.sequence) continue;
-        if (flying_change && !follower.lacks_base)
-            context.sends.push_back({identity, AppendChange{index, votes.decided, *flying_change}});
+        if (replicating_change && !follower.lacks_base)
+            context.sends.push_back({identity, AppendChange{index, votes.decided, *replicating_change}});
         else context.sends.push_back({identity, Append{index, votes.decided, flying}});
     }
 }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -88,7 +88,7 @@
     bool in_flight = false;
     bool sent_flight = false;
     Copy flying;
-    std::optional<CopyChange> flying_change;  // on top of what was committed before; else the snapshot is sent
+    std::optional<CopyChange> replicating_change;  // on top of what was committed before; else the snapshot is sent
     Microseconds replication_sent_at = 0;
     struct FollowerProgress {
         Microseconds heard = 0;
