--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -42,7 +42,7 @@
     else if (committed && committed->sequence < copy.sequence) replicating_change = change_between(*committed, flying);
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
     replication_sent_at = context.now;
-    sent_flight = false;
+    replication_sent = false;
     settle(context);
 }
 
@@ -58,8 +58,8 @@
 auto Partition::settle(Context& context) -> void {
     if (!in_flight || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     if (synced < flying.sequence) return;
-    if (!sent_flight) {
-        sent_flight = true;
+    if (!replication_sent) {
+        replication_sent = true;
         replication_sent_at = context.now;
         send_flight(context);
     }
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -105,7 +105,7 @@
 auto Partition::resend_flight(Context& context) -> void {
     if (!in_flight || !leased_lately(context.now) || context.now - replication_sent_at <= times.resend_interval) return;
     replication_sent_at = context.now;
-    sent_flight = false;
+    replication_sent = false;
     settle(context);
 }
 
@@ -230,7 +230,7 @@
     auto& follower = progress[from];
     follower.heard = context.now;
     follower.has = std::max(follower.has, message.sequence);
-    if (message.lacks_base && in_flight && sent_flight && follower.has < flying.sequence) {
+    if (message.lacks_base && in_flight && replication_sent && follower.has < flying.sequence) {
         follower.lacks_base = true;
         context.sends.push_back({from, Append{index, votes.decided, flying}});
     }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -86,7 +86,7 @@
     Microseconds last_ask = 0;
     Microseconds leader_since = 0;
     bool in_flight = false;
-    bool sent_flight = false;
+    bool replication_sent = false;
     Copy flying;
     std::optional<CopyChange> replicating_change;  // on top of what was committed before; else the snapshot is sent
     Microseconds replication_sent_at = 0;
