--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -22,7 +22,7 @@
     return bytes.append(frame);
 }
 
-auto take_note(std::string_view& bytes) -> std::optional<LinkHeader> {
+auto take_link_header(std::string_view& bytes) -> std::optional<LinkHeader> {
     if (bytes.size() < note_size) return std::nullopt;
     auto head = bytes.substr(0, note_size);
     auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -22,7 +22,7 @@
 
 auto put_note(LinkHeader const& note, std::string_view frame) -> std::string;
 // Takes it off again; nothing where its checksum does not fit.
-auto take_note(std::string_view& bytes) -> std::optional<LinkHeader>;
+auto take_link_header(std::string_view& bytes) -> std::optional<LinkHeader>;
 
 struct LinkTimes {
     Microseconds patience = 400 * one_millisecond;         // at least, with a frame that is not known to have arrived
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -144,7 +144,7 @@
 }
 
 auto Transport::hear(std::string_view bytes, Heard const& heard) -> bool {
-    auto const note = take_note(bytes);
+    auto const note = take_link_header(bytes);
     if (!note) return false;
     auto frame = unpack_frame(bytes);
     if (!frame || frame->fleet != fleet) return false;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -22,7 +22,7 @@
 TEST_CASE("a note comes back as it was put, and one with any byte changed does not") {
     auto const put = put_note({1, 2, 3, ~std::uint64_t{0}}, "frame");
     auto bytes = std::string_view(put);
-    auto const taken = take_note(bytes);
+    auto const taken = take_link_header(bytes);
     REQUIRE(taken);
     CHECK(bytes == "frame");
     CHECK(taken->life == 1);
@@ -33,10 +33,10 @@
         auto changed = put;
         changed[place] = static_cast<char>(changed[place] ^ 1);
         auto rest = std::string_view(changed);
-        CHECK_FALSE(take_note(rest));
+        CHECK_FALSE(take_link_header(rest));
     }
     auto few = std::string_view(put).substr(0, 39);
-    CHECK_FALSE(take_note(few));
+    CHECK_FALSE(take_link_header(few));
 }
 
 TEST_CASE("a connection hangs where its other end is heard for long without what was sent") {
