--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -94,14 +94,14 @@
 }
 
 auto PeerLink::is_former(std::uint64_t life) const -> bool {
-    return life != 0 && std::find(former_lives.begin(), former_lives.end(), life) != former_lives.end();
+    return life != 0 && std::find(former_instances.begin(), former_instances.end(), life) != former_instances.end();
 }
 
 // What is left of a former life may still come after the first words of the next.
 auto PeerLink::take_life(std::uint64_t life) -> void {
     if (life == heard_instance) return;
     hangs = another_life = heard_instance != 0 && last_number != 0;
-    former_lives[next_former++ % former_lives.size()] = heard_instance;
+    former_instances[next_former++ % former_instances.size()] = heard_instance;
     heard_instance = life;
     heard_number = 0;
 }
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -56,7 +56,7 @@
     Microseconds missed_for = 0;  // its greatest age when the peer was heard without it, or doubted
     RoundTrip round_trip;
     std::uint64_t heard_instance = 0;
-    std::array<std::uint64_t, 4> former_lives{};  // the last ones, so that their late words are known as such
+    std::array<std::uint64_t, 4> former_instances{};  // the last ones, so that their late words are known as such
     std::size_t next_former = 0;
     Microseconds heard_at = 0;  // the present life
     std::uint64_t heard_number = 0;
