--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -75,7 +75,7 @@
 // Up to the frame that was sent last when the watched one was known to be there, the next is watched.
 auto PeerLink::arrived(std::uint64_t number) -> void {
     if (waiting != 0) measure();
-    hangs = another_life = false;
+    hangs = other_instance = false;
     waiting = number < last_number ? last_number : 0;
     waiting_since = last_at;
     waiting_stood = last_stood;
@@ -100,7 +100,7 @@
 // What is left of a former life may still come after the first words of the next.
 auto PeerLink::take_life(std::uint64_t life) -> void {
     if (life == heard_instance) return;
-    hangs = another_life = heard_instance != 0 && last_number != 0;
+    hangs = other_instance = heard_instance != 0 && last_number != 0;
     former_instances[next_former++ % former_instances.size()] = heard_instance;
     heard_instance = life;
     heard_number = 0;
@@ -128,7 +128,7 @@
 
 auto PeerLink::dialled() -> void {
     if (hangs) ++renewals;
-    hangs = another_life = false;
+    hangs = other_instance = false;
     waiting = 0;
     waiting_bytes = behind_bytes = 0;
     missed_for = 0;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -62,7 +62,7 @@
     std::uint64_t heard_number = 0;
     int renewals = 0;  // since a frame is known to have arrived that was sent while its connection stood
     bool hangs = false;
-    bool another_life = false;  // it hangs as its peer was started anew since it was dialled
+    bool other_instance = false;  // it hangs as its peer was started anew since it was dialled
 
     // `stood`: the connection was established when the frame was sent.
     auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool stood = true) -> void;
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -115,7 +115,7 @@
 // it is dialled anew where it was not reached yet, or says that nothing of ours arrives. What waited is let go.
 auto Transport::dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool {
     auto const since = now - peer.dialed_at;
-    if (peer.connections->count > 0) return link.another_life || (link.hangs && since > dial_patience);
+    if (peer.connections->count > 0) return link.other_instance || (link.hangs && since > dial_patience);
     auto const up = peer.heard || link.hangs;
     return since > (up ? attempt_patience(dial_patience, peer.attempts.while_heard)
                        : attempt_patience(attempt_limit, peer.attempts.in_silence));
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -95,7 +95,7 @@
     CHECK_FALSE(link.hangs);
     link.heard(note(1, 0, 10, 0), own_life, 2'000);
     CHECK(link.hangs);
-    CHECK(link.another_life);
+    CHECK(link.other_instance);
     link.heard(note(6, 1), own_life, 3'000);  // what is left of the former life
     CHECK(link.hangs);
     CHECK(link.heard_instance == 10);
