--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -75,8 +75,8 @@
     line("disk_failures_total", counters.disk_failures.load());
     line("disk_repairs_total", counters.disk_repairs.load());
     line("proof_age_microseconds", proof_age(now));
-    line("losses_borne", losses_bearable.count.load());
-    line("losses_borne_for_microseconds", now - losses_bearable.since.load());
+    line("losses_borne", loss_tolerance.count.load());
+    line("losses_borne_for_microseconds", now - loss_tolerance.since.load());
     latency_metrics.write(text);
     write_machine(text, limits, process_use());
     if (message_memory.most() != MemoryBudget::unlimited) line("message_memory_limit_bytes", message_memory.most());
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -48,7 +48,7 @@
     Transport transport;
     Control control;  // touched only inside control_work
     std::atomic<Microseconds> proven_at{0};
-    LossTolerance losses_bearable;  // looked at inside control_work
+    LossTolerance loss_tolerance;  // looked at inside control_work
     SnapshotHolder snapshot;
     Counters counters;
     LatencyMetrics latency_metrics;
