--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -16,7 +16,7 @@
     placed.erase(found);
 }
 
-auto ReplicaState::count_told(RemoteLoad const& item, std::int64_t sign) -> void {
+auto ReplicaState::count_remote(RemoteLoad const& item, std::int64_t sign) -> void {
     told_slots += sign * item.slots;
     told_memory += sign * item.memory;
     told_unread += sign * item.unread;
@@ -27,7 +27,7 @@
     told_slots = told_memory = told_unread = told_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
-        count_told(item, 1);
+        count_remote(item, 1);
         remote_oldest = std::min(remote_oldest, item.at);
     }
 }
@@ -44,7 +44,7 @@
         state.told.push_back({digest.node, hash_text(node, state.seed)});
         found = state.told.end() - 1;
     }
-    state.count_told(*found, -1);
+    state.count_remote(*found, -1);
     found->at = digest.at;
     found->slots = item.slots;
     found->memory = item.memory;
@@ -53,7 +53,7 @@
     found->ended = item.ended;
     found->failed = item.failed;
     found->unreported = item.count > 0 ? item.memory / item.count * std::min(item.recent, item.count) : 0;
-    state.count_told(*found, 1);
+    state.count_remote(*found, 1);
     state.remote_oldest = std::min(state.remote_oldest, digest.at);
 }
 
@@ -61,7 +61,7 @@
     auto const found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == node; });
     if (found == state.told.end()) return;
-    state.count_told(*found, -1);
+    state.count_remote(*found, -1);
     *found = state.told.back();
     state.told.pop_back();
 }
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -122,7 +122,7 @@
     mutable std::uint64_t orders_known = 0;
 
     auto take_away(std::uint64_t ticket) -> void;
-    auto count_told(RemoteLoad const& item, std::int64_t sign) -> void;
+    auto count_remote(RemoteLoad const& item, std::int64_t sign) -> void;
     auto sum_told() -> void;
 };
 
