--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -17,7 +17,7 @@
     if (client_left()) facts.client = ClientState::gone;
     if (exchange) {
         facts.written = exchange->bytes_written();
-        node.counters.strangers += exchange->strangers;
+        node.counters.unmatched_answers += exchange->unmatched_answers;
     }
     TryResult made;
     made.end = retry::end_of(facts);
--- a/source/connection/replica_exchange.cpp
+++ b/source/connection/replica_exchange.cpp
@@ -81,7 +81,7 @@
 auto ReplicaExchange::is_own() const -> bool { return parser->get()[request.identity_field] == request.identity; }
 
 auto ReplicaExchange::skip_stranger() -> awaitable<bool> {
-    ++strangers;
+    ++unmatched_answers;
     parser->limit_stored_body(stored_body_bytes);
     auto const failure = co_await read_whole(connection.stream, connection.buffer, *parser);
     co_return !failure && !parser->need_eof();
--- a/source/connection/replica_exchange.hpp
+++ b/source/connection/replica_exchange.hpp
@@ -28,7 +28,7 @@
     ExchangeRequest request;
     std::size_t written = 0;
     bool write_failed = false;
-    std::uint64_t strangers = 0;  // answers to other requests, read and dropped
+    std::uint64_t unmatched_answers = 0;  // answers to other requests, read and dropped
     std::optional<AnswerParser> parser;
 
     ReplicaExchange(ReplicaConnection& given, ExchangeRequest asked) : connection(given), request(std::move(asked)) {}
--- a/tests/request_wire_test.cpp
+++ b/tests/request_wire_test.cpp
@@ -54,7 +54,7 @@
     REQUIRE(wire.ask("id-1").end == TryEnd::answered);
     REQUIRE(wire.ask("id-2").end == TryEnd::answered);
     CHECK(wire.accepted == 1);
-    CHECK(wire.node->counters.strangers == 1);
+    CHECK(wire.node->counters.unmatched_answers == 1);
     auto const seen = wire.seen_by_client();
     CHECK(seen.find("again") == std::string::npos);
     CHECK(seen.find("second") != std::string::npos);
