--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -150,7 +150,7 @@
     // Not ready for a while before the door shuts: whoever sends clients looks now and then.
     auto const notice = std::min(limit, clock_now() + settings.stop_notice_milliseconds * one_millisecond);
     auto const handing_limit = std::min(limit, clock_now() + 3 * one_second);
-    admission_ends = stop_entry_end(clock_now(), limit);
+    admission_ends = stop_admission_end(clock_now(), limit);
     while (clock_now() < limit) {
         if (duties->load()) {
             in_control([this, duties, handing_limit] {
