--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -98,7 +98,7 @@
     course.ticket = std::move(verdict.ticket);
     course.ticket.number = node.next_request_number++;
     course.rules = sequence;
-    ticket_number = course.ticket.number;
+    request_number = course.ticket.number;
     if (node.resting_now) node.wake();
     try {
         co_return co_await follow(request, course);
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -99,7 +99,7 @@
     auto response = HttpResponse(static_cast<http::status>(status), 11);
     response.set(http::field::content_type, type);
     for (auto const& [name, value] : headers) response.set(name, value);
-    if (ticket_number != 0) response.set("Dockrock-Ticket", std::to_string(ticket_number));
+    if (request_number != 0) response.set("Dockrock-Ticket", std::to_string(request_number));
     response.keep_alive(request.keep_alive() && !node.stopping && !node.resting_now);
     response.body() = std::move(body);
     response.prepare_payload();
@@ -177,7 +177,7 @@
     auto const usable = verdict.kind == Verdict::Kind::forward
         ? co_await forward_application(request, std::move(verdict))
         : co_await run_ticket(request, std::move(verdict), current->rules->sequence);
-    ticket_number = 0;
+    request_number = 0;
     co_return usable;
 }
 
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -17,7 +17,7 @@
     Node& node;
     tcp::socket socket;
     beast::flat_buffer buffer;
-    std::uint64_t ticket_number = 0;  // told to the caller with every answer, for the logs
+    std::uint64_t request_number = 0;  // told to the caller with every answer, for the logs
 
     auto serve() -> awaitable<void>;
     // Whether the connection can be used further.
