--- a/source/sequence/rules.cpp
+++ b/source/sequence/rules.cpp
@@ -12,7 +12,7 @@
         rules.push_back({Operation::method, "POST"});
         rules.push_back({Operation::body_limit, "", limits.body_bytes});
         rules.push_back({Operation::check_key, ""});
-        rules.push_back({Operation::read_ticket, ""});
+        rules.push_back({Operation::read_inference, ""});
         rules.push_back({Operation::match_tenant, ""});
         rules.push_back({Operation::check_kind, ""});
         rules.push_back({Operation::check_model, ""});
--- a/source/sequence/rules.hpp
+++ b/source/sequence/rules.hpp
@@ -14,7 +14,7 @@
 enum class Operation : int {
     method,
     body_limit,
-    read_ticket,
+    read_inference,
     check_key,
     match_tenant,
     check_kind,
--- a/source/ticket/interpreter.cpp
+++ b/source/ticket/interpreter.cpp
@@ -29,7 +29,7 @@
         return true;
     }
 
-    auto read_ticket() -> bool {
+    auto read_inference() -> bool {
         auto const parsed = parse_json(arrival.body);
         if (!parsed) return refuse(400, "the body is not JSON");
         read_json(*parsed, verdict.ticket.body, "", verdict.problems);
@@ -110,7 +110,7 @@
             case Operation::body_limit:
                 return arrival.body.size() <= static_cast<std::size_t>(rule.number) ||
                     refuse(413, "the body is above the limit");
-            case Operation::read_ticket: return read_ticket();
+            case Operation::read_inference: return read_inference();
             case Operation::check_key: return check_key();
             case Operation::match_tenant: return match_tenant();
             case Operation::check_kind: return check_kind();
