--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -35,7 +35,7 @@
         auto const guard = Guard(lock);
         entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
         Decisions decisions;
-        if (avoid) scheduler.enter_again(ticket, *avoid, now);
+        if (avoid) scheduler.enqueue_retry(ticket, *avoid, now);
         else scheduler.enqueue(ticket, now, decisions);
         settle(decisions);
         schedule_locked(now, proof_age);
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -60,7 +60,7 @@
 
 // Only for a ticket that is known not to have run. Its extra try waits for the
 // budget a little; what the budget can't pay in time is given up (design 10.4).
-auto Scheduler::enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
+auto Scheduler::enqueue_retry(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
     buffers[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
 
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -121,7 +121,7 @@
 
     auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
     auto enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void;
-    auto enter_again(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void;
+    auto enqueue_retry(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void;
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -154,7 +154,7 @@
         auto const now = static_cast<Microseconds>(number) * 20 * one_millisecond;
         enqueue(scheduler, make_ticket(number), now);
         scheduler.withdraw(number);
-        scheduler.enter_again(make_ticket(number), "r0", now);
+        scheduler.enqueue_retry(make_ticket(number), "r0", now);
         auto const decisions = match(scheduler, now);
         for (auto const& item : decisions.placements) {
             CHECK(item.replica == "r1");
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -90,7 +90,7 @@
     auto& run = plane.courses.at(number);
     run.entered = true;
     Decisions decisions;
-    if (run.course.avoid) plane.scheduler.enter_again(run.course.ticket, *run.course.avoid, local(index));
+    if (run.course.avoid) plane.scheduler.enqueue_retry(run.course.ticket, *run.course.avoid, local(index));
     else plane.scheduler.enqueue(run.course.ticket, local(index), decisions);
     decide(index, decisions);
     match(index);
