--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -88,7 +88,7 @@
     LoadRelay load_relay;  // where this is a core node
     LoadRelayChoice load_choice;
     Microseconds load_told_at = -3'600 * one_second;
-    CacheFeedTimes kept_times;
+    CacheFeedTimes cache_times;
     CacheFeed cache_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -33,12 +33,12 @@
     };
     if (settings.core) {
         for (auto const& core : cores)
-            if (core.identity != membership.self.identity && now - asked_at(core.identity) >= kept_times.between_cores)
+            if (core.identity != membership.self.identity && now - asked_at(core.identity) >= cache_times.between_cores)
                 output.sends.push_back({core.control_address, cache_feed.ask(core.identity, true, now)});
         return;
     }
-    auto const busy = now - load_told_at < kept_times.busy_for;
-    if (now - feed_asked_at < (busy ? kept_times.busy : kept_times.idle)) return;
+    auto const busy = now - load_told_at < cache_times.busy_for;
+    if (now - feed_asked_at < (busy ? cache_times.busy : cache_times.idle)) return;
     feed_asked_at = now;
     if (auto const* relay = load_choice.choose(membership.self, cores, now))
         output.sends.push_back({relay->control_address, cache_feed.ask(relay->identity, false, now)});
