--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -199,7 +199,7 @@
     auto parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void>;
     auto parts_address(std::string const& name) -> std::string;
     auto parts_told(CacheBatch batch, bool restarted) -> void;
-    auto take_kept(CacheBatch const& batch, bool forget) -> void;
+    auto take_cache_batch(CacheBatch const& batch, bool forget) -> void;
     auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -90,7 +90,7 @@
     return found == parts_read.end() ? std::string() : found->second.address;
 }
 
-auto Node::take_kept(CacheBatch const& batch, bool forget) -> void {
+auto Node::take_cache_batch(CacheBatch const& batch, bool forget) -> void {
     auto const changes = read_changes(batch.changes);
     auto const guard = std::lock_guard(table.lock);
     auto& load_table = table.scheduler.load_table;
@@ -114,7 +114,7 @@
 
 // What was read of a source: for this node, or for all where it is a core node.
 auto Node::parts_told(CacheBatch batch, bool restarted) -> void {
-    if (!settings.front_address.empty()) take_kept(batch, batch.anew || restarted);
+    if (!settings.front_address.empty()) take_cache_batch(batch, batch.anew || restarted);
     in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
 }
 
@@ -167,7 +167,7 @@
         auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
         if (!told) continue;
         in_control([this, batch = batch_of(name, source->second.store, 0, *told)] {
-            if (control.kept_caught_up(batch)) take_kept(batch, true);
+            if (control.kept_caught_up(batch)) take_cache_batch(batch, true);
         });
     }
 }
@@ -181,7 +181,7 @@
 // What came through the relay.
 auto Node::take_feed(std::vector<CacheFeed::Taken> const& told) -> void {
     for (auto const& [batch, gap] : told) {
-        take_kept(batch, gap || batch.anew);
+        take_cache_batch(batch, gap || batch.anew);
         if (!gap || batch.anew) continue;
         auto const guard = std::lock_guard(loops_lock);
         parts_missed.insert(batch.source);
