--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -184,7 +184,8 @@
     auto publish(Microseconds now, ControlOutput& output) -> void;
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
     auto ask_news(Microseconds now, ControlOutput& output) -> void;
-    auto answer_news(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait) -> void;
+    auto answer_update_request(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait)
+        -> void;
     auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -41,7 +41,7 @@
 
 auto Control::on(Arrival const& arrival, UpdateRequest const& ask) -> void {
     if (!is_partition(ask.partition)) return;
-    answer_news(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
+    answer_update_request(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
 }
 
 auto Control::on(Arrival const& arrival, UpdateAnswer const& answer) -> void {
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -51,7 +51,7 @@
     auto waiting = std::move(held_requests);
     held_requests.clear();
     for (auto const& item : waiting) {
-        if (now - item.since >= hold_limit(item.ask.partition)) answer_news(now, item, output, false);
+        if (now - item.since >= hold_limit(item.ask.partition)) answer_update_request(now, item, output, false);
         else held_requests.push_back(item);
     }
 }
@@ -60,14 +60,15 @@
     auto waiting = std::move(held_requests);
     held_requests.clear();
     for (auto const& entry : waiting) {
-        if (entry.ask.partition == partition) answer_news(now, entry, output, false);
+        if (entry.ask.partition == partition) answer_update_request(now, entry, output, false);
         else held_requests.push_back(entry);
     }
 }
 
 // Ages are told as of the question's arrival: the asker counts from when it
 // asked, and the time that the question was held here is no age (design 8.2).
-auto Control::answer_news(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait) -> void {
+auto Control::answer_update_request(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait)
+    -> void {
     auto const& ask = waiting.ask;
     auto& item = news[static_cast<std::size_t>(ask.partition)];
     auto const live_age = waiting.since - item.live_at;
