--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -21,7 +21,7 @@
     auto& item = news[static_cast<std::size_t>(decided.partition)];
     if (decided.record.term > item.record.term) {
         item.record = decided.record;
-        pass_by(item, false);  // the old leader's answer is not waited for
+        retire_request(item, false);  // the old leader's answer is not waited for
         item.unanswered = 0;
     }
     on<Decided>(arrival, decided);
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -106,7 +106,7 @@
 auto Control::take_news(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     if (answer.token != item.ask_token || item.ask_token == 0) return take_late(now, answer, output);
-    pass_by(item, true);
+    retire_request(item, true);
     item.unanswered = 0;
     take_answer(now, item, answer, item.asked_at, output);
     if (item.asked_relay && now - item.proven_at > 2 * hold_limit(answer.partition))
@@ -180,7 +180,7 @@
         return false;
     ++update_counts.unanswered;
     output.notes.push_back({partition, item.asked_whom, now - item.asked_at, false});
-    pass_by(item, false);
+    retire_request(item, false);
     if (item.asked_relay) item.direct_until = now + times.direct;
     else ++item.unanswered;
     return true;
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -13,7 +13,7 @@
 
 auto digest_of(std::string_view text) -> std::uint64_t { return text_digest(text); }
 
-auto pass_by(PartitionView& item, bool answered) -> void {
+auto retire_request(PartitionView& item, bool answered) -> void {
     if (item.ask_token == 0) return;
     item.past_requests.push_back({item.ask_token, item.asked_whom, item.asked_at, answered});
     if (item.past_requests.size() > asks_kept) item.past_requests.pop_front();
