--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -47,7 +47,7 @@
 
 // One save at a time: claims that come meanwhile share the next sync.
 auto Partition::push_claims(Context& context) -> void {
-    if (claims.save_token != 0 || claims.fresh.empty()) return fly_claims(context);
+    if (claims.save_token != 0 || claims.fresh.empty()) return replicate_claims(context);
     std::string text;
     for (auto const& key : claims.fresh) text += write_claim(key, claims.held[key], context.now);
     claims.logged += claims.fresh.size();
@@ -75,12 +75,12 @@
     }
     claims.saving.clear();
     push_claims(context);
-    fly_claims(context);
+    replicate_claims(context);
 }
 
 // The leader's disk first, then the followers': whatever an follower holds,
 // the leader holds too, so that a restart never gives one key to two tickets.
-auto Partition::fly_claims(Context& context) -> void {
+auto Partition::replicate_claims(Context& context) -> void {
     if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.replicating_claims.clear();
     for (auto const& key : claims.to_replicate)
@@ -140,7 +140,7 @@
     claims.replicating_claims.clear();
     if (claims.whole_flies) claims.whole_needed = false;
     settle_claims(context);
-    fly_claims(context);
+    replicate_claims(context);
 }
 
 auto Partition::settle_claims(Context& context) -> void {
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -223,7 +223,7 @@
     auto push_claims(Context& context) -> void;
     auto save_claims(Context& context, std::string text, std::vector<IdentifiedMessage> after) -> std::uint64_t;
     auto claims_saved(Context& context, std::uint64_t token) -> void;
-    auto fly_claims(Context& context) -> void;
+    auto replicate_claims(Context& context) -> void;
     auto send_claims(Context& context) -> void;
     auto claims_flown(Context& context) -> void;
     auto settle_claims(Context& context) -> void;
