--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -95,7 +95,7 @@
             if (auto const found = claims.held.find(key); found != claims.held.end())
                 claims.replication_batch += write_claim(key, found->second, context.now);
     claims.flying = true;
-    claims.landed.clear();
+    claims.replicated_at_followers.clear();
     ++claims.flight_number;
     send_claims(context);
     claims_flown(context);
@@ -104,7 +104,7 @@
 auto Partition::send_claims(Context& context) -> void {
     claims.replication_sent_at = context.now;
     for (auto const& follower : votes.decided.followers)
-        if (!claims.landed.contains(follower))
+        if (!claims.replicated_at_followers.contains(follower))
             context.sends.push_back(
                 {follower,
                  ClaimReplication{index, votes.decided, claims.life, claims.flight_number, claims.replication_batch}});
@@ -130,12 +130,12 @@
     if (!claims.flying || message.life != claims.life || message.number != claims.flight_number) return;
     if (votes.sealed >= votes.decided.term) return;
     progress[from].heard = context.now;
-    claims.landed.insert(from);
+    claims.replicated_at_followers.insert(from);
     claims_flown(context);
 }
 
 auto Partition::claims_flown(Context& context) -> void {
-    if (claims.landed.size() < votes.decided.followers.size()) return;
+    if (claims.replicated_at_followers.size() < votes.decided.followers.size()) return;
     claims.flying = false;
     claims.replicating_claims.clear();
     if (claims.whole_flies) claims.whole_needed = false;
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -36,9 +36,9 @@
     std::set<std::string> fresh;   // not yet given to the disk
     std::set<std::string> saving;  // given, not yet synced
     std::uint64_t save_token = 0;
-    std::set<std::string> to_replicate;        // synced here, not yet flown
-    std::set<std::string> replicating_claims;  // in the flight under way
-    std::set<std::string> landed;              // followers that hold it
+    std::set<std::string> to_replicate;             // synced here, not yet flown
+    std::set<std::string> replicating_claims;       // in the flight under way
+    std::set<std::string> replicated_at_followers;  // followers that hold it
     bool flying = false;
     bool whole_flies = false;
     bool whole_needed = true;  // an follower may lack some
