--- a/source/control/replica_weights.hpp
+++ b/source/control/replica_weights.hpp
@@ -15,7 +15,7 @@
 
 // What the list shows, overridden by the leader's word; a listed version that
 // is higher than the word's shows that the word is over.
-inline auto apply_word(ReplicaWeights& listed, ReplicaWeights const& word) -> void {
+inline auto apply_weights_state(ReplicaWeights& listed, ReplicaWeights const& word) -> void {
     for (auto const& [model, version] : word.versions)
         if (auto const found = listed.versions.find(model); found != listed.versions.end() && found->second > version)
             return;
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -43,7 +43,7 @@
 auto take_words(Snapshot& fresh, std::string const& text) -> void {
     for (auto const& [replica, word] : read_words(text))
         if (auto const found = fresh.replica_weights.find(replica); found != fresh.replica_weights.end())
-            apply_word(found->second, word);
+            apply_weights_state(found->second, word);
 }
 
 }  // namespace
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -72,12 +72,12 @@
 
 TEST_CASE("a listed version that is higher than the leader's word ends the word") {
     auto listed = ReplicaWeights{{{"m", 1}}, false};
-    apply_word(listed, {{{"m", 1}}, true});
+    apply_weights_state(listed, {{{"m", 1}}, true});
     CHECK(listed == ReplicaWeights{{{"m", 1}}, true});
     listed = {{{"m", 1}}, false};
-    apply_word(listed, {{{"m", 2}}, false});
+    apply_weights_state(listed, {{{"m", 2}}, false});
     CHECK(listed == ReplicaWeights{{{"m", 2}}, false});
     listed = {{{"m", 3}}, false};
-    apply_word(listed, {{{"m", 2}}, true});
+    apply_weights_state(listed, {{{"m", 2}}, true});
     CHECK(listed == ReplicaWeights{{{"m", 3}}, false});
 }
