--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -198,7 +198,7 @@
     auto take_sources(std::map<std::string, CacheSource> sources) -> std::vector<std::pair<std::string, bool>>;
     auto parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void>;
     auto parts_address(std::string const& name) -> std::string;
-    auto parts_told(CacheBatch batch, bool restarted) -> void;
+    auto parts_reported(CacheBatch batch, bool restarted) -> void;
     auto take_cache_batch(CacheBatch const& batch, bool forget) -> void;
     auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
     auto catch_up_loop() -> awaitable<void>;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -113,7 +113,7 @@
 }
 
 // What was read of a source: for this node, or for all where it is a core node.
-auto Node::parts_told(CacheBatch batch, bool restarted) -> void {
+auto Node::parts_reported(CacheBatch batch, bool restarted) -> void {
     if (!settings.front_address.empty()) take_cache_batch(batch, batch.anew || restarted);
     in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
 }
@@ -131,7 +131,7 @@
         if (!told && store) {  // a batch without a life: the store does not answer
             since = 0;
             life.clear();
-            parts_told(CacheBatch{name, store, {}, 0, 0, true, {}, {}}, true);
+            parts_reported(CacheBatch{name, store, {}, 0, 0, true, {}, {}}, true);
         }
         if (!told) {
             co_await pause(store ? one_second / 2 : one_second);
@@ -141,11 +141,11 @@
         if (restarted && since != 0) {  // its events begin anew
             since = 0;
             life = told->life;
-            parts_told(batch_of(name, store, 0, CacheEvents{told->life, 0, true, {}}), true);
+            parts_reported(batch_of(name, store, 0, CacheEvents{told->life, 0, true, {}}), true);
             continue;
         }
         if (told->next != since || told->gap || life.empty())
-            parts_told(batch_of(name, store, since, *told), restarted);
+            parts_reported(batch_of(name, store, since, *told), restarted);
         since = told->next;
         life = told->life;
         co_await pause(settings.front_address.empty() ? shared_interval : parts_interval);
