--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -107,7 +107,7 @@
     auto const partition = partition_of_service(ticket.body.model);
     auto ask = ClaimAsk{partition, 0, claim_key(ticket), "", release};
     in_control([this, ask = std::move(ask), number = ticket.number, done = std::move(done)]() mutable {
-        ask.ticket = claim_ticket(control.membership.self.identity, number);
+        ask.ticket = claim_owner(control.membership.self.identity, number);
         auto const token = control.random.next() | 1U;
         if (done) claim_waiters[token] = std::move(done);
         apply_output(control.claim(clock_now(), token, ask));
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -6,7 +6,7 @@
     return sha256_of(ticket.body.model + "\n" + ticket.tenant_path + "\n" + ticket.body.identity).substr(0, 32);
 }
 
-auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string {
+auto claim_owner(std::string_view node, std::uint64_t number) -> std::string {
     return std::string(node) + "-" + std::to_string(number);
 }
 
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -88,6 +88,6 @@
 
 // What is claimed: one identity of one tenant, at one model's part.
 auto claim_key(InferenceRequest const& ticket) -> std::string;
-auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string;
+auto claim_owner(std::string_view node, std::uint64_t number) -> std::string;
 
 }  // namespace dockrock
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -49,7 +49,7 @@
     if (found == plane.courses.end()) return;
     auto& course = found->second.course;
     if (!step.give_back.empty()) plane.scheduler.load_table.release(step.give_back, number);
-    auto const ticket = claim_ticket(world.nodes[index]->control.membership.self.identity, number);
+    auto const ticket = claim_owner(world.nodes[index]->control.membership.self.identity, number);
     auto const part = partition_of_service(course.ticket.body.model);
     if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(course.ticket), ticket, true}, {});
     if (options.planted_shed_after_run && step.step == Step::answer_unknown) step.step = Step::answer_shed;
