--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -87,7 +87,7 @@
         auto const target = request.target();
         auto const own =
             target.starts_with("/control/") || target == "/health" || target == "/ready" || target == "/metrics";
-        auto const usable = own ? co_await handle_control(request) : co_await handle_ticket(request);
+        auto const usable = own ? co_await handle_control(request) : co_await handle_inference(request);
         if (!usable || !request.keep_alive()) break;
     }
     boost::system::error_code ignored;
@@ -151,7 +151,7 @@
         asio::use_awaitable);
 }
 
-auto Session::handle_ticket(HttpRequest const& request) -> awaitable<bool> {
+auto Session::handle_inference(HttpRequest const& request) -> awaitable<bool> {
     ++node.counters.tickets;
     // A node that has just started waits a little for its first configuration.
     for (auto count = 0;
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -27,7 +27,7 @@
         HttpRequest const& request, int status, std::string body, std::string type, Headers headers = Headers())
         -> awaitable<bool>;
     auto handle_control(HttpRequest const& request) -> awaitable<bool>;
-    auto handle_ticket(HttpRequest const& request) -> awaitable<bool>;
+    auto handle_inference(HttpRequest const& request) -> awaitable<bool>;
     auto forward_application(HttpRequest const& request, Verdict verdict) -> awaitable<bool>;
     auto follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool>;
     auto run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
--- a/tests/product_refusal_test.cpp
+++ b/tests/product_refusal_test.cpp
@@ -38,7 +38,7 @@
     auto done = false;
     auto const own = request.target().starts_with("/control/");
     asio::co_spawn(
-        context, own ? session.handle_control(request) : session.handle_ticket(request),
+        context, own ? session.handle_control(request) : session.handle_inference(request),
         [&](std::exception_ptr, bool) { done = true; });
     while (!done) context.run_one();
     auto bytes = std::array<char, 4096>();
