--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -81,12 +81,12 @@
     auto const replica = course.placement.replica;
     auto const result = co_await run_try(*this, course, request.keep_alive());
     node.try_ended(replica, course.ticket, result.end, result.reason, sent_at);
-    log_ticket(course.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
+    log_inference(course.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
     usable = result.usable;
     co_return result.held_back ? course.held_back() : course.ended(result.end, result.reason);
 }
 
-auto Session::log_ticket(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
+auto Session::log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
     -> void {
     write_log(
         Level::debug, event,
@@ -112,7 +112,7 @@
 auto Session::follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool> {
     auto usable = false;
     for (auto step = course.begin();;) {
-        log_ticket(
+        log_inference(
             course.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
             course.placement.replica);
         if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -39,7 +39,8 @@
     auto enter_buffer(RequestLifecycle& course) -> awaitable<LifecycleStep>;
     auto claim(RequestLifecycle& course) -> awaitable<LifecycleStep>;
     auto send_try(HttpRequest const& request, RequestLifecycle& course, bool& usable) -> awaitable<LifecycleStep>;
-    auto log_ticket(InferenceRequest const& ticket, char const* event, std::string what, std::string replica) -> void;
+    auto log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
+        -> void;
 };
 
 struct TryResult {
