--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -89,7 +89,7 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Scheduler::kept_runs(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes {
+auto Scheduler::cached_prefixes(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes {
     auto runs = CachedPrefixes{weights_hash};
     for (auto const* state : load_table.pool(ticket.body.model)) {
         if (state->weights_hash != weights_hash || state->unreachable || !state->report || state->report->changing)
@@ -123,7 +123,7 @@
     auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
         for (auto const& runs : known)
             if (runs.weights_hash == mark) return runs;
-        return known.emplace_back(kept_runs(ticket, mark));
+        return known.emplace_back(cached_prefixes(ticket, mark));
     };
     auto view = PlacementView();
     view.prompt = ticket.prompt_tokens + ticket.prefix_tokens;
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -115,7 +115,7 @@
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
     placement.outstanding = load_table.unread(state, now);
     placement.running = load_table.running(state, now);
-    placement.best_cached = kept_runs(ticket, state.weights_hash).replicas;
+    placement.best_cached = cached_prefixes(ticket, state.weights_hash).replicas;
     placement.held_by = waiting.held_by;
     auto const memory = ticket.declared() - placement.cached_tokens;
     load_table.place(placement.replica, ticket, memory, now, placement.tokens_to_read);
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -146,7 +146,7 @@
         const -> ReplicaState const*;
     auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
         const -> ReplicaState const*;
-    auto kept_runs(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes;
+    auto cached_prefixes(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes;
     auto place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
     auto plan_parts(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
         -> FetchPlan;
