--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -63,7 +63,7 @@
     line("peer_dials_total", transport.dials.load());
     line("peer_redials_total", transport.redials.load());
     line("peer_connections_lost_total", transport.connections_lost->load());
-    sight.write(text);
+    update_metrics.write(text);
     line("client_connections", client_connections.load());
     if (most_client_connections != no_limit) line("client_connections_limit", most_client_connections);
     line("open_tickets", open_inferences.load());
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -116,7 +116,7 @@
             load_table.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
     }
     if (!output.kept.empty()) take_feed(output.kept);
-    sight.take(control.update_counts, output.notes);
+    update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
     loss_tolerance.look(control, now);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -52,7 +52,7 @@
     SnapshotHolder snapshot;
     Counters counters;
     LatencyMetrics latency_metrics;
-    UpdateMetrics sight;
+    UpdateMetrics update_metrics;
     AdmissionTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
     std::atomic<std::uint64_t> next_request_number{1};
     asio::signal_set stop_signals{context};
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -39,7 +39,7 @@
 // What the rules refused; 503 says nothing of them.
 auto Node::note_refusal(int status, Sequence const& sequence) -> void {
     auto const now = clock_now();
-    if (status != 503) sight.refused(status, sequence, proof_age(now), now);
+    if (status != 503) update_metrics.refused(status, sequence, proof_age(now), now);
 }
 
 auto Node::try_ended(
