--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -87,7 +87,7 @@
     answer.sequence = item.copy.sequence;
     if (item.copy.sequence > ask.have) {
         answer.copy = copy_told(item, ask);
-        news_bytes += answer.copy->text.size() + size_of(answer.copy->edits);
+        update_bytes += answer.copy->text.size() + size_of(answer.copy->edits);
         news_bytes_whole += item.copy.document.size();
     }
     answer.live_digest = item.live_digest;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -76,7 +76,7 @@
         [](auto const& left, auto const& right) { return left.sequence < right.sequence; });
     CHECK(world->run_until_true([&] { return all_hold(*world, newest->document); }, 2 * one_second));
     for (auto const& node : world->nodes) {
-        bytes += node->control.news_bytes;
+        bytes += node->control.update_bytes;
         whole += node->control.news_bytes_whole;
     }
     INFO("sent " << bytes << " of " << whole);
