--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -57,7 +57,7 @@
         "disk", json::string_view(disk.data(), disk.size()), "invariant_violations", violations_object(),
         "one_more_loss_safe", safe, "losses_borne", node.loss_tolerance.count.load(), "losses_borne_for_microseconds",
         now - node.loss_tolerance.since.load(), "why_not", std::move(problems), "news_bytes", node.control.update_bytes,
-        "news_bytes_whole", node.control.news_bytes_whole, "identity", node.control.membership.self.identity, "ready",
+        "news_bytes_whole", node.control.update_bytes_whole, "identity", node.control.membership.self.identity, "ready",
         node.ready(now), "resting", node.resting_now.load(), "stopping", node.stopping.load(), "configuration_in_force",
         etag_of(current->rules->sequence), "replicas_listed", current->list.replicas.size(), "list_age_microseconds",
         now - node.control.news[configuration_partition].live_at, "open_tickets", node.open_inferences.load(),
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -93,7 +93,7 @@
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
     std::uint64_t update_bytes = 0;  // sent as news of documents, and what whole ones would have been
-    std::uint64_t news_bytes_whole = 0;
+    std::uint64_t update_bytes_whole = 0;
     bool resting = false;  // few wakeups: only what keeps this node in the fleet (design 12)
 
     auto start(
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -88,7 +88,7 @@
     if (item.copy.sequence > ask.have) {
         answer.copy = copy_told(item, ask);
         update_bytes += answer.copy->text.size() + size_of(answer.copy->edits);
-        news_bytes_whole += item.copy.document.size();
+        update_bytes_whole += item.copy.document.size();
     }
     answer.live_digest = item.live_digest;
     answer.live_age = live_age;
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -77,7 +77,7 @@
     CHECK(world->run_until_true([&] { return all_hold(*world, newest->document); }, 2 * one_second));
     for (auto const& node : world->nodes) {
         bytes += node->control.update_bytes;
-        whole += node->control.news_bytes_whole;
+        whole += node->control.update_bytes_whole;
     }
     INFO("sent " << bytes << " of " << whole);
     CHECK(bytes * 5 < whole);
