--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -128,7 +128,7 @@
     auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = news[static_cast<std::size_t>(answer->partition)];
-        if (output.news || next_is_held(item, answer->partition, now)) ask_news(now, output);
+        if (output.news || next_is_held(item, answer->partition, now)) request_updates(now, output);
     }
     return output;
 }
@@ -156,7 +156,7 @@
     share_load(now, output);
     ask_feed(now, output);
     publish(now, output);
-    ask_news(now, output);
+    request_updates(now, output);
     ask_namings(now, output);
     tick_calls(now, output);
     tick_claims(now, output);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -183,7 +183,7 @@
     auto drain(Context& context, ControlOutput& output) -> void;
     auto publish(Microseconds now, ControlOutput& output) -> void;
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
-    auto ask_news(Microseconds now, ControlOutput& output) -> void;
+    auto request_updates(Microseconds now, ControlOutput& output) -> void;
     auto answer_update_request(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait)
         -> void;
     auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -211,7 +211,7 @@
     return members[random.below(members.size())].control_address;
 }
 
-auto Control::ask_news(Microseconds now, ControlOutput& output) -> void {
+auto Control::request_updates(Microseconds now, ControlOutput& output) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto& item = news[index];
         if (leads(static_cast<int>(index), now)) continue;
