--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -235,7 +235,7 @@
     auto ask_feed(Microseconds now, ControlOutput& output) -> void;
     auto take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output) -> void;
     auto share_load(Microseconds now, ControlOutput& output) -> void;
-    auto on_form_anew(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void;
+    auto on_recover_fleet(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void;
 };
 
 }  // namespace dockrock
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -110,7 +110,7 @@
 }
 
 auto Control::on(Arrival const& arrival, RecoverFleet const& order) -> void {
-    on_form_anew(arrival.now, order, arrival.output);
+    on_recover_fleet(arrival.now, order, arrival.output);
 }
 
 }  // namespace dockrock
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -107,12 +107,12 @@
 
 auto Control::send_anew(Microseconds now, ControlOutput& output) -> void {
     anew->sent_at = now;
-    if (anew->at == membership.self.control_address) on_form_anew(now, anew->order, output);
+    if (anew->at == membership.self.control_address) on_recover_fleet(now, anew->order, output);
     else output.sends.push_back({anew->at, anew->order});
 }
 
 // Only a core node that had no say in the fleet that was: its disk knows nothing better.
-auto Control::on_form_anew(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void {
+auto Control::on_recover_fleet(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void {
     auto const named = std::any_of(partitions.begin(), partitions.end(), [&](auto const& partition) {
         auto const& record = partition.votes.decided;
         auto const& self = membership.self.identity;
