--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -228,7 +228,7 @@
     auto has_duties() const -> bool;
     auto held_parts() const -> std::vector<HeldPartition>;
     auto take_anew(std::vector<HeldPartition> const& told) -> void;
-    auto send_anew(Microseconds now, ControlOutput& output) -> void;
+    auto send_recovery(Microseconds now, ControlOutput& output) -> void;
     auto tick_anew(Microseconds now, ControlOutput& output) -> void;
     auto end_recovery(int status, std::string_view what, ControlOutput& output) -> void;
     auto old_voter_alive(std::vector<HeldPartition> const& held) const -> std::string;
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -81,7 +81,7 @@
     if (anew->term != 0) {
         auto const& record = best_record(configuration_partition);
         if (record.term > anew->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
-        if (now - anew->sent_at > send_interval) send_anew(now, output);  // the last one may be lost
+        if (now - anew->sent_at > send_interval) send_recovery(now, output);  // the last one may be lost
         if (now - anew->since > forming_limit)
             end_recovery(504, "not formed yet; look at the status, order again", output);
         return;
@@ -102,10 +102,10 @@
     anew->since = now;
     anew->order = std::move(order);
     anew->at = cores.front().control_address;
-    send_anew(now, output);
+    send_recovery(now, output);
 }
 
-auto Control::send_anew(Microseconds now, ControlOutput& output) -> void {
+auto Control::send_recovery(Microseconds now, ControlOutput& output) -> void {
     anew->sent_at = now;
     if (anew->at == membership.self.control_address) on_recover_fleet(now, anew->order, output);
     else output.sends.push_back({anew->at, anew->order});
