--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -79,7 +79,7 @@
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
     std::optional<PendingRecovery> anew;
-    bool forms_anew = false;  // this core node holds the copies to form from
+    bool recovers_fleet = false;  // this core node holds the copies to form from
     Microseconds blank_since = 0;
     std::vector<std::string> cores_seen;  // the last set of core nodes seen, while this node is blank
     Microseconds cores_since = 0;
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -95,7 +95,7 @@
 auto Control::form(Microseconds now, Context& context) -> void {
     auto const& first = partitions[0].votes.decided;
     auto const blank = first.term == 0 && first.voters.empty();
-    if (blank && !forms_anew && fleet_heard_of(membership)) {
+    if (blank && !recovers_fleet && fleet_heard_of(membership)) {
         blank_since = cores_since = now;
         return;
     }
@@ -112,7 +112,7 @@
     for (auto& partition : partitions) {
         auto const& record = partition.votes.decided;
         auto const named = !record.leader.empty() || record.voters.empty();
-        if (named || partition.proposal || (record.term != 0 && !forms_anew)) continue;
+        if (named || partition.proposal || (record.term != 0 && !recovers_fleet)) continue;
         partition.propose(context, first_group(membership, partition));
     }
 }
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -122,7 +122,7 @@
     auto const listed = std::find(order.voters.begin(), order.voters.end(), membership.self.identity);
     if (!settings.core || named || order.partitions.size() != partition_count || listed == order.voters.end()) return;
     if (!old_voter_alive(order.partitions).empty()) return;
-    forms_anew = true;
+    recovers_fleet = true;
     with_parts(now, output, [&](Context& context) {
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
