--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -98,7 +98,7 @@
     claims.replicated_at_followers.clear();
     ++claims.flight_number;
     send_claims(context);
-    claims_flown(context);
+    claims_replicated(context);
 }
 
 auto Partition::send_claims(Context& context) -> void {
@@ -131,10 +131,10 @@
     if (votes.sealed >= votes.decided.term) return;
     progress[from].heard = context.now;
     claims.replicated_at_followers.insert(from);
-    claims_flown(context);
+    claims_replicated(context);
 }
 
-auto Partition::claims_flown(Context& context) -> void {
+auto Partition::claims_replicated(Context& context) -> void {
     if (claims.replicated_at_followers.size() < votes.decided.followers.size()) return;
     claims.flying = false;
     claims.replicating_claims.clear();
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -225,7 +225,7 @@
     auto claims_saved(Context& context, std::uint64_t token) -> void;
     auto replicate_claims(Context& context) -> void;
     auto send_claims(Context& context) -> void;
-    auto claims_flown(Context& context) -> void;
+    auto claims_replicated(Context& context) -> void;
     auto settle_claims(Context& context) -> void;
     auto tick_claims(Context& context) -> void;
     auto claims_under_new_record(Context& context) -> void;
