--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -96,7 +96,7 @@
                 claims.replication_batch += write_claim(key, found->second, context.now);
     claims.flying = true;
     claims.replicated_at_followers.clear();
-    ++claims.flight_number;
+    ++claims.replication_number;
     send_claims(context);
     claims_replicated(context);
 }
@@ -107,7 +107,8 @@
         if (!claims.replicated_at_followers.contains(follower))
             context.sends.push_back(
                 {follower,
-                 ClaimReplication{index, votes.decided, claims.life, claims.flight_number, claims.replication_batch}});
+                 ClaimReplication{
+                     index, votes.decided, claims.life, claims.replication_number, claims.replication_batch}});
 }
 
 auto Partition::on(Context& context, std::string const& from, ClaimReplication const& message) -> void {
@@ -127,7 +128,7 @@
 auto Partition::on(Context& context, std::string const& from, ClaimReplicated const& message) -> void {
     if (!is_leader(context.self) || message.term != votes.decided.term) return;
     if (!votes.decided.has_follower(from)) return;
-    if (!claims.flying || message.life != claims.life || message.number != claims.flight_number) return;
+    if (!claims.flying || message.life != claims.life || message.number != claims.replication_number) return;
     if (votes.sealed >= votes.decided.term) return;
     progress[from].heard = context.now;
     claims.replicated_at_followers.insert(from);
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -42,7 +42,7 @@
     bool flying = false;
     bool whole_flies = false;
     bool whole_needed = true;  // an follower may lack some
-    std::uint64_t flight_number = 0;
+    std::uint64_t replication_number = 0;
     Microseconds replication_sent_at = 0;
     std::string replication_batch;
     struct Waiter {
