--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -117,10 +117,10 @@
     if (!votes.decided.has_follower(context.self) || votes.sealed >= votes.decided.term) return;
     leader_heard = context.now;
     auto const place = std::pair(message.life, message.number);
-    if (place < claims.newest_flight) return;
+    if (place < claims.newest_replication) return;
     auto const reply =
         IdentifiedMessage{from, ClaimReplicated{index, votes.decided.term, message.life, message.number}};
-    claims.newest_flight = place;
+    claims.newest_replication = place;
     claims.take(read_claims(message.claims), context.now, true);
     save_claims(context, message.claims, {reply});
 }
@@ -167,7 +167,7 @@
 
 // A new record: the group may be new, so its followers are given all there is.
 auto Partition::claims_under_new_record(Context& context) -> void {
-    claims.newest_flight = {0, 0};
+    claims.newest_replication = {0, 0};
     claims.flying = false;
     if (!is_leader(context.self)) return claims.stand_back();
     claims.whole_needed = true;
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -54,7 +54,7 @@
     };
     std::vector<Waiter> waiters;
     // follower
-    std::pair<std::uint64_t, std::uint64_t> newest_flight{0, 0};  // life, number
+    std::pair<std::uint64_t, std::uint64_t> newest_replication{0, 0};  // life, number
 
     auto load(std::string_view text, Microseconds now) -> void;
     auto take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void;
