--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -13,7 +13,7 @@
 constexpr auto mebibyte = Microseconds{1} << 20U;
 }  // namespace
 
-auto put_note(LinkHeader const& note, std::string_view frame) -> std::string {
+auto put_link_header(LinkHeader const& note, std::string_view frame) -> std::string {
     std::string bytes;
     bytes.reserve(note_size + frame.size());
     for (auto const number : {note.life, note.number, note.heard_instance, note.heard_number})
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -20,7 +20,7 @@
     std::uint64_t heard_number = 0;
 };
 
-auto put_note(LinkHeader const& note, std::string_view frame) -> std::string;
+auto put_link_header(LinkHeader const& note, std::string_view frame) -> std::string;
 // Takes it off again; nothing where its checksum does not fit.
 auto take_link_header(std::string_view& bytes) -> std::optional<LinkHeader>;
 
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -100,7 +100,7 @@
         }
     }
     peer.used_at = now;
-    auto const noted = put_note({life, last_number + 1, link.heard_instance, link.heard_number}, frame);
+    auto const noted = put_link_header({life, last_number + 1, link.heard_instance, link.heard_number}, frame);
     if (nng_send(peer.socket, const_cast<char*>(noted.data()), noted.size(), NNG_FLAG_NONBLOCK) == 0) {
         link.sent(++last_number, noted.size(), now, peer.connections->count > 0);
         ++sent;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 TEST_CASE("a note comes back as it was put, and one with any byte changed does not") {
-    auto const put = put_note({1, 2, 3, ~std::uint64_t{0}}, "frame");
+    auto const put = put_link_header({1, 2, 3, ~std::uint64_t{0}}, "frame");
     auto bytes = std::string_view(put);
     auto const taken = take_link_header(bytes);
     REQUIRE(taken);
