--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -197,7 +197,7 @@
     auto take_copy(Microseconds now, PartitionView& item, UpdateAnswer const& answer, ControlOutput& output) -> void;
     auto take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
-    auto learn_namings(int partition, Microseconds now) -> void;
+    auto learn_version_times(int partition, Microseconds now) -> void;
     auto ask_namings(Microseconds now, ControlOutput& output) -> void;
     auto take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -25,7 +25,7 @@
         if (changed) {
             remember(item);
             item.copy = *partition.committed;
-            learn_namings(static_cast<int>(index), now);
+            learn_version_times(static_cast<int>(index), now);
         }
         item.proven_at = now;
         if (item.told_term < item.record.term) {  // a new leader tells everyone where to ask (design 8.1)
@@ -153,7 +153,7 @@
     item.copy.sequence = answer.copy->sequence;
     item.copy.document = std::move(*made);
     item.copy.outcomes.clear();
-    learn_namings(answer.partition, now);
+    learn_version_times(answer.partition, now);
     output.news = true;
 }
 
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -3,7 +3,7 @@
 
 namespace dockrock {
 
-auto Control::learn_namings(int partition, Microseconds now) -> void {
+auto Control::learn_version_times(int partition, Microseconds now) -> void {
     if (partition == configuration_partition || partition == resting_partition) return;
     namings.learn(news[static_cast<std::size_t>(partition)].copy.document, now);
 }
