--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -41,14 +41,14 @@
 }
 
 auto take_words(Snapshot& fresh, std::string const& text) -> void {
-    for (auto const& [replica, word] : read_words(text))
+    for (auto const& [replica, word] : read_weights_states(text))
         if (auto const found = fresh.replica_weights.find(replica); found != fresh.replica_weights.end())
             apply_weights_state(found->second, word);
 }
 
 }  // namespace
 
-auto read_words(std::string const& text) -> WeightsStates {
+auto read_weights_states(std::string const& text) -> WeightsStates {
     auto const parsed = text.empty() ? std::nullopt : parse_json(text);
     if (!parsed) return {};
     WeightsStates words;
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -32,6 +32,6 @@
     -> std::shared_ptr<Snapshot>;
 
 // An leader's words of its replicas; none where the text can't be read.
-auto read_words(std::string const& text) -> WeightsStates;
+auto read_weights_states(std::string const& text) -> WeightsStates;
 
 }  // namespace dockrock
--- a/source/control/weights_controller.cpp
+++ b/source/control/weights_controller.cpp
@@ -76,7 +76,7 @@
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
         if (fresh) {  // what a former leader had under way is asked after first
-            if (!read_told) told = read_words(news.live);
+            if (!read_told) told = read_weights_states(news.live);
             read_told = true;
             rollout.target = snapshot.target_version(model);
             for (auto const& replica : replicas)
