--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -76,7 +76,7 @@
             tell(state, node, digest, found->second);
 }
 
-auto ReplicaLoadTable::take_told(
+auto ReplicaLoadTable::take_remote_loads(
     std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void {
     if (digest.node == 0) digest.node = ++nodes_told;
     auto const was_active = !digest.replicas.empty();
@@ -100,7 +100,8 @@
     if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
     for (auto& [node, digest] : others)
-        if (now - digest.at > options.digest_lost && !digest.replicas.empty()) take_told(node, digest, {}, digest.at);
+        if (now - digest.at > options.digest_lost && !digest.replicas.empty())
+            take_remote_loads(node, digest, {}, digest.at);
     others_oldest = now;
     for (auto const& [node, digest] : others)
         if (!digest.replicas.empty()) others_oldest = std::min(others_oldest, digest.at);
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -81,7 +81,7 @@
     read_json(*parsed, told, "", problems);
     if (!problems.empty()) return;
     digest.number = number;
-    take_told(node, digest, std::move(told), now);
+    take_remote_loads(node, digest, std::move(told), now);
     forget_lost(now);
     judge_health(now);
 }
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -213,8 +213,8 @@
    private:
     auto tell_of(std::string const& name, ReplicaState& state) const -> void;
     auto judge_health(Microseconds now) -> void;
-    auto take_told(std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at)
-        -> void;
+    auto take_remote_loads(
+        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void;
     auto forget_lost(Microseconds now) -> void;
     auto make_pools() -> void;
     auto own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>>;
