--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -23,7 +23,7 @@
     if (item.at > reported_at) told_unreported += sign * item.unreported;
 }
 
-auto ReplicaState::sum_told() -> void {
+auto ReplicaState::sum_remote() -> void {
     told_slots = told_memory = told_unread = told_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
@@ -105,7 +105,7 @@
     others_oldest = now;
     for (auto const& [node, digest] : others)
         if (!digest.replicas.empty()) others_oldest = std::min(others_oldest, digest.at);
-    for (auto& [name, state] : replicas) state.sum_told();
+    for (auto& [name, state] : replicas) state.sum_remote();
 }
 
 auto ReplicaLoadTable::make_pools() -> void {
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -59,7 +59,7 @@
     state.placed_since = 0;
     for (auto const& [ticket, placed] : state.placed)
         if (placed.at >= asked_at) state.placed_since += placed.memory;
-    state.sum_told();
+    state.sum_remote();
 }
 
 auto ReplicaLoadTable::report_failed(std::string const& name, Microseconds now) -> void {
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -123,7 +123,7 @@
 
     auto take_away(std::uint64_t ticket) -> void;
     auto count_remote(RemoteLoad const& item, std::int64_t sign) -> void;
-    auto sum_told() -> void;
+    auto sum_remote() -> void;
 };
 
 // A relay's word, read: a whole sum or what makes one of the sum held.
