--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -17,14 +17,14 @@
 }
 
 auto ReplicaState::count_remote(RemoteLoad const& item, std::int64_t sign) -> void {
-    told_slots += sign * item.slots;
+    remote_slots += sign * item.slots;
     told_memory += sign * item.memory;
     told_unread += sign * item.unread;
     if (item.at > reported_at) told_unreported += sign * item.unreported;
 }
 
 auto ReplicaState::sum_remote() -> void {
-    told_slots = told_memory = told_unread = told_unreported = 0;
+    remote_slots = told_memory = told_unread = told_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
         count_remote(item, 1);
@@ -131,7 +131,7 @@
 
 auto ReplicaLoadTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_slots + (relayed && !summed_lost(now) ? state.summed.slots : 0);
-    if (now - state.remote_oldest <= options.digest_lost) return sum + state.told_slots;
+    if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_slots;
     for (auto const& item : state.told)
         if (now - item.at <= options.digest_lost) sum += item.slots;
     return sum;
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -109,7 +109,7 @@
         std::int64_t failed = 0;
     };
     std::vector<RemoteLoad> told;
-    std::int64_t told_slots = 0;  // sums over `told`
+    std::int64_t remote_slots = 0;  // sums over `told`
     std::int64_t told_memory = 0;
     std::int64_t told_unread = 0;
     std::int64_t told_unreported = 0;  // of those told since the report was asked for
