--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -18,13 +18,13 @@
 
 auto ReplicaState::count_remote(RemoteLoad const& item, std::int64_t sign) -> void {
     remote_slots += sign * item.slots;
-    told_memory += sign * item.memory;
+    remote_memory += sign * item.memory;
     told_unread += sign * item.unread;
     if (item.at > reported_at) told_unreported += sign * item.unreported;
 }
 
 auto ReplicaState::sum_remote() -> void {
-    remote_slots = told_memory = told_unread = told_unreported = 0;
+    remote_slots = remote_memory = told_unread = told_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
         count_remote(item, 1);
@@ -167,7 +167,7 @@
             reported -= load.memory / load.count * std::min(load.recent, load.count);
     }
     if (now - state.remote_oldest <= options.digest_lost)
-        return std::min(free - state.told_memory, reported - state.told_unreported);
+        return std::min(free - state.remote_memory, reported - state.told_unreported);
     for (auto const& item : state.told) {
         if (now - item.at > options.digest_lost) continue;
         free -= item.memory;
