--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -7,7 +7,7 @@
 // Prompt tokens placed there by anyone whose reading is not known to be over.
 auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
-    if (now - state.remote_oldest <= options.digest_lost) return sum + state.told_unread;
+    if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_unread;
     for (auto const& item : state.told)
         if (now - item.at <= options.digest_lost) sum += item.unread;
     return sum;
--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -19,12 +19,12 @@
 auto ReplicaState::count_remote(RemoteLoad const& item, std::int64_t sign) -> void {
     remote_slots += sign * item.slots;
     remote_memory += sign * item.memory;
-    told_unread += sign * item.unread;
+    remote_unread += sign * item.unread;
     if (item.at > reported_at) told_unreported += sign * item.unreported;
 }
 
 auto ReplicaState::sum_remote() -> void {
-    remote_slots = remote_memory = told_unread = told_unreported = 0;
+    remote_slots = remote_memory = remote_unread = told_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
         count_remote(item, 1);
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -111,7 +111,7 @@
     std::vector<RemoteLoad> told;
     std::int64_t remote_slots = 0;  // sums over `told`
     std::int64_t remote_memory = 0;
-    std::int64_t told_unread = 0;
+    std::int64_t remote_unread = 0;
     std::int64_t told_unreported = 0;  // of those told since the report was asked for
     Microseconds remote_oldest = 0;    // none of `told` is older; brought up now and then
     std::uint64_t seed = 0;            // hash of its name
