--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -20,11 +20,11 @@
     remote_slots += sign * item.slots;
     remote_memory += sign * item.memory;
     remote_unread += sign * item.unread;
-    if (item.at > reported_at) told_unreported += sign * item.unreported;
+    if (item.at > reported_at) remote_unreported += sign * item.unreported;
 }
 
 auto ReplicaState::sum_remote() -> void {
-    remote_slots = remote_memory = remote_unread = told_unreported = 0;
+    remote_slots = remote_memory = remote_unread = remote_unreported = 0;
     remote_oldest = told.empty() ? 0 : told.front().at;
     for (auto const& item : told) {
         count_remote(item, 1);
@@ -167,7 +167,7 @@
             reported -= load.memory / load.count * std::min(load.recent, load.count);
     }
     if (now - state.remote_oldest <= options.digest_lost)
-        return std::min(free - state.remote_memory, reported - state.told_unreported);
+        return std::min(free - state.remote_memory, reported - state.remote_unreported);
     for (auto const& item : state.told) {
         if (now - item.at > options.digest_lost) continue;
         free -= item.memory;
