--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -73,7 +73,7 @@
     boost::system::error_code ignored;
     stream.socket().set_option(tcp::no_delay(true), ignored);
     facts.written = BytesWritten::none;
-    if (auto const look = node.last_look(course); look != SendCheck::send) {
+    if (auto const look = node.check_before_send(course); look != SendCheck::send) {
         auto result = ended(facts, "moved-on");
         result.held_back = look == SendCheck::moved_on;
         co_return result;
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -117,7 +117,7 @@
     auto attempt = RelayTry{*this, request, *judged.route, course, answer, node};
     if (!co_await attempt.connect()) co_return attempt.result();
     attempt.close_when_client_leaves();
-    if (auto const look = node.last_look(course); look != SendCheck::send) {
+    if (auto const look = node.check_before_send(course); look != SendCheck::send) {
         attempt.reason = "moved-on";
         auto result = attempt.result();
         result.held_back = look == SendCheck::moved_on && result.end == TryEnd::not_written;
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -175,7 +175,7 @@
     // The last looks at what leaves; false where it breaks an invariant and is to be held back.
     auto refusal_leaves(int status) const -> bool;
     auto request_leaves(RequestLifecycle const& course, LifecycleFacts const& facts) const -> bool;
-    auto last_look(RequestLifecycle const& course) const -> SendCheck;  // the last checks once more
+    auto check_before_send(RequestLifecycle const& course) const -> SendCheck;  // the last checks once more
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
     auto send_duty_order(AddressedOrder order) -> awaitable<void>;
