--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -180,7 +180,7 @@
 }
 
 TEST_CASE("the platform's form names what its wire speaks") {
-    auto const& form = platform::platform_form();
+    auto const& form = platform::platform_protocol();
     CHECK(form.ready_path == "/-/ready");
     CHECK(form.configuration_path == "/-/config");
     CHECK(form.weights_path == "/-/version-put");
