--- a/source/process/settings.hpp
+++ b/source/process/settings.hpp
@@ -65,9 +65,9 @@
 auto refusal_limit_of(FleetBounds const& bounds) -> Microseconds;
 // A node that stops takes requests that are read until this moment. Later ones might outlast the stop limit and be
 // cut; refused at once, they run elsewhere.
-inline constexpr Microseconds longest_stop_entry = 2'900 * one_millisecond;
+inline constexpr Microseconds longest_stop_admission = 2'900 * one_millisecond;
 inline auto stop_admission_end(Microseconds began, Microseconds limit) -> Microseconds {
-    return began + std::min(longest_stop_entry, (limit - began) / 2);
+    return began + std::min(longest_stop_admission, (limit - began) / 2);
 }
 auto most_extra_tries(FleetBounds const& bounds) -> double;  // stored on one node
 
--- a/tests/stop_entry_test.cpp
+++ b/tests/stop_entry_test.cpp
@@ -7,8 +7,8 @@
 
 TEST_CASE("a stopping node takes requests for a while only, so that none outlasts its stop limit") {
     auto const began = 100 * one_second;
-    CHECK(stop_admission_end(began, began + 7 * one_second) == began + longest_stop_entry);
-    CHECK(stop_admission_end(began, began + 20 * one_second) == began + longest_stop_entry);
+    CHECK(stop_admission_end(began, began + 7 * one_second) == began + longest_stop_admission);
+    CHECK(stop_admission_end(began, began + 20 * one_second) == began + longest_stop_admission);
     CHECK(stop_admission_end(began, began + 2 * one_second) == began + one_second);
     CHECK(stop_admission_end(began, began) == began);
 }
