--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -93,7 +93,7 @@
         fields("ticket", ticket.number, "tenant", ticket.tenant_path, "what", what, "replica", replica));
 }
 
-auto Session::run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
+auto Session::run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
     auto course = RequestLifecycle();
     course.ticket = std::move(verdict.ticket);
     course.ticket.number = node.next_request_number++;
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -176,7 +176,7 @@
     auto const counted = CountedScope(node.open_inferences);
     auto const usable = verdict.kind == Verdict::Kind::forward
         ? co_await forward_application(request, std::move(verdict))
-        : co_await run_ticket(request, std::move(verdict), current->rules->sequence);
+        : co_await run_inference(request, std::move(verdict), current->rules->sequence);
     request_number = 0;
     co_return usable;
 }
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -30,7 +30,7 @@
     auto handle_inference(HttpRequest const& request) -> awaitable<bool>;
     auto forward_application(HttpRequest const& request, Verdict verdict) -> awaitable<bool>;
     auto follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool>;
-    auto run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
+    auto run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
     auto shed(HttpRequest const& request, std::string reason, std::int64_t retry_after) -> awaitable<bool>;
     auto unknown(HttpRequest const& request, std::string reason) -> awaitable<bool>;
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
