--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -23,7 +23,7 @@
     most_client_connections = shares.client_connections;
     auto const& bounds = settings.bounds;
     auto& scheduler = table.scheduler;
-    scheduler.budget.each_ticket = bounds.retry_ratio;
+    scheduler.budget.each_request = bounds.retry_ratio;
     scheduler.budget.stored = scheduler.budget.most = most_extra_tries(bounds);
     if (form != nullptr) {  // the product's own interface keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -71,8 +71,8 @@
 struct RetryBudget {
     double stored = 1.0;
     double most = 1.0;
-    double each_ticket = 0.2;
-    auto ticket_came() -> void { stored = std::min(most, stored + each_ticket); }
+    double each_request = 0.2;
+    auto ticket_came() -> void { stored = std::min(most, stored + each_request); }
     auto any() const -> bool { return stored >= 1.0; }
     auto take() -> void { stored -= 1.0; }
 };
