--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -127,7 +127,7 @@
     return placement;
 }
 
-auto Scheduler::match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions)
+auto Scheduler::schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions)
     -> void {
     auto const& pool = load_table.pool(model);
     auto const any_replica = std::any_of(
@@ -189,7 +189,7 @@
     }
     if (proof_age > proof_limit) return;  // tickets wait; started answers go on
     for (auto& [model, buffer] : buffers)
-        if (!buffer.waiting.empty()) match_model(model, buffer, now, decisions);
+        if (!buffer.waiting.empty()) schedule_model(model, buffer, now, decisions);
 }
 
 auto Scheduler::finished(
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -139,7 +139,7 @@
     auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
 
    private:
-    auto match_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
+    auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
     auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
     auto least_requests(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
