--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -11,7 +11,7 @@
     return reader != nullptr && reader->identity == membership.self.identity;
 }
 
-auto Control::kept_read(CacheBatch batch) -> void {
+auto Control::cache_read(CacheBatch batch) -> void {
     auto const known = cache_feed.judge(batch) == CacheFeed::Verdict::known;
     if (!known && settings.core) cache_feed.add(std::move(batch), true);
 }
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -115,7 +115,7 @@
 // What was read of a source: for this node, or for all where it is a core node.
 auto Node::parts_reported(CacheBatch batch, bool restarted) -> void {
     if (!settings.front_address.empty()) take_cache_batch(batch, batch.anew || restarted);
-    in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
+    in_control([this, batch = std::move(batch)]() mutable { control.cache_read(std::move(batch)); });
 }
 
 auto Node::parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void> {
