--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -130,7 +130,7 @@
     // Whether this core node reads the events of a source, and what it read there (design 9.9).
     auto reads_source(std::string_view source, std::string_view area) const -> bool;
     auto cache_read(CacheBatch batch) -> void;
-    auto kept_caught_up(CacheBatch const& batch) -> bool;
+    auto cache_caught_up(CacheBatch const& batch) -> bool;
 
     auto hand_over(Microseconds now, bool& pending) -> ControlOutput;
     auto leave() -> ControlOutput;
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -17,7 +17,7 @@
 }
 
 // What was read at the source itself; nothing where the feed is further already.
-auto Control::kept_caught_up(CacheBatch const& batch) -> bool {
+auto Control::cache_caught_up(CacheBatch const& batch) -> bool {
     auto& cursor = cache_feed.cursors[batch.source];
     if (cursor.life == batch.life && batch.next < cursor.next) return false;
     cursor = {batch.life, batch.next};
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -167,7 +167,7 @@
         auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
         if (!told) continue;
         in_control([this, batch = batch_of(name, source->second.store, 0, *told)] {
-            if (control.kept_caught_up(batch)) take_cache_batch(batch, true);
+            if (control.cache_caught_up(batch)) take_cache_batch(batch, true);
         });
     }
 }
