--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -189,7 +189,7 @@
     auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
-    auto take_news(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
+    auto take_update(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
     auto take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
     auto take_answer(
         Microseconds now, PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -47,7 +47,7 @@
 auto Control::on(Arrival const& arrival, UpdateAnswer const& answer) -> void {
     if (!is_partition(answer.partition)) return;
     load_choice.heard(arrival.from, arrival.now);
-    take_news(arrival.now, answer, arrival.output);
+    take_update(arrival.now, answer, arrival.output);
 }
 
 auto Control::on(Arrival const& arrival, LoadDigest const& digest) -> void {
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -103,7 +103,7 @@
     return now - news[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
 }
 
-auto Control::take_news(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
+auto Control::take_update(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     if (answer.token != item.ask_token || item.ask_token == 0) return take_late(now, answer, output);
     retire_request(item, true);
