--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -206,7 +206,7 @@
         return partition == configuration_partition ? times.hold_limit : times.service_hold_limit;
     }
     auto ask_overdue(PartitionView& item, int partition, Microseconds now, ControlOutput& output) -> bool;
-    auto news_target(PartitionView& item, int partition, Microseconds now) -> std::string;
+    auto update_target(PartitionView& item, int partition, Microseconds now) -> std::string;
     auto other_target(PartitionView const& item, std::string const& asked) -> std::string;
     auto send_call(Microseconds now, std::uint64_t token, PendingCall& pending, ControlOutput& output) -> void;
     auto on_call_forward(Microseconds now, CallForward const& forward, ControlOutput& output) -> void;
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -187,7 +187,7 @@
 }
 
 // A relay where there are many nodes; else the leader, or anyone where none is known.
-auto Control::news_target(PartitionView& item, int partition, Microseconds now) -> std::string {
+auto Control::update_target(PartitionView& item, int partition, Microseconds now) -> std::string {
     item.asked_relay = false;
     if (load_choice.relayed && !settings.core && now >= item.direct_until) {
         auto const cores = membership.alive_members(true);
@@ -219,7 +219,7 @@
         if (resting && now - item.asked_at < times.resting_interval) continue;
         if (index == resting_partition && !settings.rests && !settings.core) continue;
         if (!ask_overdue(item, static_cast<int>(index), now, output)) continue;
-        auto const target = news_target(item, static_cast<int>(index), now);
+        auto const target = update_target(item, static_cast<int>(index), now);
         if (target.empty()) continue;
         ++update_counts.asked;
         item.ask_token = random.next() | 1U;
