--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -201,7 +201,7 @@
     auto ask_namings(Microseconds now, ControlOutput& output) -> void;
     auto take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
-    auto relays_news(int partition, Microseconds now) const -> bool;
+    auto relays_updates(int partition, Microseconds now) const -> bool;
     auto hold_limit(int partition) const -> Microseconds {
         return partition == configuration_partition ? times.hold_limit : times.service_hold_limit;
     }
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -74,7 +74,7 @@
     auto const live_age = waiting.since - item.live_at;
     auto const list_newer = item.live_digest != ask.live_digest && live_age < ask.live_age;
     auto const newer = item.copy.sequence > ask.have || list_newer || item.record.term > ask.term;
-    if (may_wait && !newer && (leads(ask.partition, now) || relays_news(ask.partition, now))) {
+    if (may_wait && !newer && (leads(ask.partition, now) || relays_updates(ask.partition, now))) {
         if (held_requests.size() < 1024) held_requests.push_back(waiting);
         return;
     }
@@ -98,7 +98,7 @@
 
 // A core node whose own proof is fresh holds questions as the leader does, and
 // answers them with what it hears from the leader next (design 8.1).
-auto Control::relays_news(int partition, Microseconds now) const -> bool {
+auto Control::relays_updates(int partition, Microseconds now) const -> bool {
     if (!settings.core || !load_choice.relayed) return false;
     return now - news[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
 }
