--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -129,7 +129,7 @@
 // The question was asked anew since, or of two nodes at once.
 auto Control::take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
-    auto* asked = past_ask(item, answer.token);
+    auto* asked = find_past_request(item, answer.token);
     if (asked == nullptr) {
         ++update_counts.unknown;
         return;
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -20,7 +20,7 @@
     item.ask_token = 0;
 }
 
-auto past_ask(PartitionView& item, std::uint64_t token) -> PastRequest* {
+auto find_past_request(PartitionView& item, std::uint64_t token) -> PastRequest* {
     auto const found = std::find_if(
         item.past_requests.begin(), item.past_requests.end(), [&](auto const& ask) { return ask.token == token; });
     return found == item.past_requests.end() ? nullptr : &*found;
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -84,7 +84,7 @@
 // The question under way is no longer waited for; it stays remembered for a while.
 auto retire_request(PartitionView& item, bool answered) -> void;
 // Of all that are remembered; null: no such question.
-auto past_ask(PartitionView& item, std::uint64_t token) -> PastRequest*;
+auto find_past_request(PartitionView& item, std::uint64_t token) -> PastRequest*;
 // Whole, or as the difference from what the asker holds, whichever is smaller.
 auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The same; the difference that many ask for is made once.
