--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -86,7 +86,7 @@
     answer.age = waiting.since - item.proven_at;
     answer.sequence = item.copy.sequence;
     if (item.copy.sequence > ask.have) {
-        answer.copy = copy_told(item, ask);
+        answer.copy = shared_update(item, ask);
         update_bytes += answer.copy->text.size() + size_of(answer.copy->edits);
         update_bytes_whole += item.copy.document.size();
     }
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -48,7 +48,7 @@
     return {item.copy.sequence, digest_of(fresh), false, "", std::move(edits)};
 }
 
-auto copy_told(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate {
+auto shared_update(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate {
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -88,7 +88,7 @@
 // Whole, or as the difference from what the asker holds, whichever is smaller.
 auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The same; the difference that many ask for is made once.
-auto copy_told(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate;
+auto shared_update(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The document it makes; nothing where it does not fit what is held.
 auto apply_update(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string>;
 auto remember(PartitionView& item) -> void;
