--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -28,8 +28,8 @@
             learn_version_times(static_cast<int>(index), now);
         }
         item.proven_at = now;
-        if (item.told_term < item.record.term) {  // a new leader tells everyone where to ask (design 8.1)
-            item.told_term = item.record.term;
+        if (item.announced_term < item.record.term) {  // a new leader tells everyone where to ask (design 8.1)
+            item.announced_term = item.record.term;
             for (auto const& member : membership.alive_members(false))
                 if (member.identity != membership.self.identity)
                     output.sends.push_back({member.control_address, Decided{static_cast<int>(index), item.record}});
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -76,7 +76,7 @@
     Microseconds asked_at = 0;
     std::string asked_whom;
     std::deque<PastRequest> past_requests;  // the last few questions that are no longer waited for
-    std::uint64_t told_term = 0;            // as leader: the term that all members were told of
+    std::uint64_t announced_term = 0;       // as leader: the term that all members were told of
     int unanswered = 0;
 };
 
