--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -106,7 +106,7 @@
 
 auto Control::on(Arrival const& arrival, RecoveryAnswer const& answer) -> void {
     if (!anew || anew->token != answer.token) return;
-    if (anew->silent.erase(arrival.address) > 0) take_anew(answer.partitions);
+    if (anew->silent.erase(arrival.address) > 0) take_recovery(answer.partitions);
 }
 
 auto Control::on(Arrival const& arrival, RecoverFleet const& order) -> void {
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -56,7 +56,7 @@
     return output;
 }
 
-auto Control::take_anew(std::vector<HeldPartition> const& told) -> void {
+auto Control::take_recovery(std::vector<HeldPartition> const& told) -> void {
     for (auto index = std::size_t{0}; index < std::min(told.size(), anew->best.size()); ++index) {
         auto& best = anew->best[index];
         if (told[index].term > best.term) {
