--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -160,7 +160,7 @@
     ask_namings(now, output);
     tick_calls(now, output);
     tick_claims(now, output);
-    tick_anew(now, output);
+    tick_recovery(now, output);
     answer_overdue(now, output);
     return output;
 }
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -229,7 +229,7 @@
     auto held_parts() const -> std::vector<HeldPartition>;
     auto take_recovery(std::vector<HeldPartition> const& told) -> void;
     auto send_recovery(Microseconds now, ControlOutput& output) -> void;
-    auto tick_anew(Microseconds now, ControlOutput& output) -> void;
+    auto tick_recovery(Microseconds now, ControlOutput& output) -> void;
     auto end_recovery(int status, std::string_view what, ControlOutput& output) -> void;
     auto old_voter_alive(std::vector<HeldPartition> const& held) const -> std::string;
     auto ask_feed(Microseconds now, ControlOutput& output) -> void;
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -76,7 +76,7 @@
     anew.reset();
 }
 
-auto Control::tick_anew(Microseconds now, ControlOutput& output) -> void {
+auto Control::tick_recovery(Microseconds now, ControlOutput& output) -> void {
     if (!anew) return;
     if (anew->term != 0) {
         auto const& record = best_record(configuration_partition);
