--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -87,7 +87,7 @@
         if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
     if (claims.replicating_claims.empty() && !claims.whole_needed) return;
     for (auto const& key : claims.replicating_claims) claims.to_replicate.erase(key);
-    claims.whole_flies = claims.whole_needed;
+    claims.replicating_whole = claims.whole_needed;
     claims.replication_batch.clear();
     if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
     else
@@ -139,7 +139,7 @@
     if (claims.replicated_at_followers.size() < votes.decided.followers.size()) return;
     claims.flying = false;
     claims.replicating_claims.clear();
-    if (claims.whole_flies) claims.whole_needed = false;
+    if (claims.replicating_whole) claims.whole_needed = false;
     settle_claims(context);
     replicate_claims(context);
 }
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -40,7 +40,7 @@
     std::set<std::string> replicating_claims;       // in the flight under way
     std::set<std::string> replicated_at_followers;  // followers that hold it
     bool flying = false;
-    bool whole_flies = false;
+    bool replicating_whole = false;
     bool whole_needed = true;  // an follower may lack some
     std::uint64_t replication_number = 0;
     Microseconds replication_sent_at = 0;
