--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -46,7 +46,7 @@
     settle(context);
 }
 
-auto Partition::send_flight(Context& context) -> void {
+auto Partition::send_replication(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
         if (follower.has >= flying.sequence) continue;
         if (replicating_change && !follower.lacks_base)
@@ -61,7 +61,7 @@
     if (!replication_sent) {
         replication_sent = true;
         replication_sent_at = context.now;
-        send_flight(context);
+        send_replication(context);
     }
     if (!all_have(flying.sequence)) return;
     if (!has_lease(context.self, context.now)) return;  // nothing is told without one; a grant that comes settles it
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -206,7 +206,7 @@
     auto pass_over(Context& context) -> void;
     auto send_proposal(Context& context) -> void;
     auto fly(Context& context) -> void;
-    auto send_flight(Context& context) -> void;
+    auto send_replication(Context& context) -> void;
     auto sweep_spares(Context& context) -> void;
     auto offer_spare(Context& context, std::string const& spare, Appended const& answer) -> void;
     auto takes_offers(std::string const& from, std::string const& self, Record const& record) const -> bool;
