--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -102,7 +102,7 @@
     }
 }
 
-auto Partition::resend_flight(Context& context) -> void {
+auto Partition::resend_replication(Context& context) -> void {
     if (!in_flight || !leased_lately(context.now) || context.now - replication_sent_at <= times.resend_interval) return;
     replication_sent_at = context.now;
     replication_sent = false;
@@ -141,7 +141,7 @@
     if (leased) leader_since = context.now;
     if (votes.sealed < votes.decided.term) {
         if (leased && !in_flight) open_term(context);
-        resend_flight(context);
+        resend_replication(context);
     }
     take_queued(context);
     expire_waiters(context, outcome_unknown);
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -196,7 +196,7 @@
     auto expire_waiters(Context& context, std::string_view reason) -> void;
     auto leader_tick(Context& context) -> void;
     auto open_term(Context& context) -> void;
-    auto resend_flight(Context& context) -> void;
+    auto resend_replication(Context& context) -> void;
     auto renew_group(Context& context, bool leased) -> void;
     auto follower_tick(Context& context) -> void;
     auto proposal_tick(Context& context) -> void;
