--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -98,7 +98,7 @@
 }
 
 // What is left of a former life may still come after the first words of the next.
-auto PeerLink::take_life(std::uint64_t life) -> void {
+auto PeerLink::take_instance(std::uint64_t life) -> void {
     if (life == heard_instance) return;
     hangs = other_instance = heard_instance != 0 && last_number != 0;
     former_instances[next_former++ % former_instances.size()] = heard_instance;
@@ -116,7 +116,7 @@
 auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.life_silence;
     if (note.life != heard_instance && is_former(note.life) && !silent) return;
-    take_life(note.life);
+    take_instance(note.life);
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
     auto const least = waiting != 0 ? waiting : last_number;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -78,7 +78,7 @@
     auto missed(Microseconds now) -> void;
     auto measure() -> void;
     auto arrived(std::uint64_t number) -> void;
-    auto take_life(std::uint64_t life) -> void;
+    auto take_instance(std::uint64_t life) -> void;
 };
 
 }  // namespace dockrock
