--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -157,7 +157,7 @@
     ask_feed(now, output);
     publish(now, output);
     request_updates(now, output);
-    ask_namings(now, output);
+    request_version_ages(now, output);
     tick_calls(now, output);
     tick_claims(now, output);
     tick_recovery(now, output);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -198,7 +198,7 @@
     auto take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
     auto learn_version_times(int partition, Microseconds now) -> void;
-    auto ask_namings(Microseconds now, ControlOutput& output) -> void;
+    auto request_version_ages(Microseconds now, ControlOutput& output) -> void;
     auto take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
     auto relays_updates(int partition, Microseconds now) const -> bool;
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -9,7 +9,7 @@
 }
 
 // A core node asks another one and any node at all: where the whole core restarted, edges still know.
-auto Control::ask_namings(Microseconds now, ControlOutput& output) -> void {
+auto Control::request_version_ages(Microseconds now, ControlOutput& output) -> void {
     if (!settings.core || !namings.ask_due(now)) return;
     for (auto const core_only : {true, false}) {
         auto others = membership.alive_members(core_only);
