--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -199,7 +199,7 @@
         -> void;
     auto learn_version_times(int partition, Microseconds now) -> void;
     auto request_version_ages(Microseconds now, ControlOutput& output) -> void;
-    auto take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
+    auto take_version_ages(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
     auto relays_updates(int partition, Microseconds now) const -> bool;
     auto hold_limit(int partition) const -> Microseconds {
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -78,7 +78,7 @@
 }
 
 auto Control::on(Arrival const& arrival, VersionAges const& told) -> void {
-    take_namings(arrival.now, arrival.address, told, arrival.output);
+    take_version_ages(arrival.now, arrival.address, told, arrival.output);
 }
 
 auto Control::on(Arrival const& arrival, CallForward const& forward) -> void {
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -20,8 +20,8 @@
     }
 }
 
-auto Control::take_namings(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
-    -> void {
+auto Control::take_version_ages(
+    Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output) -> void {
     if (namings.take(told.named, now)) output.news = true;
     if (told.asks) output.sends.push_back({address, VersionAges{false, namings.ages(now)}});
 }
