--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -178,7 +178,7 @@
     auto check_before_send(RequestLifecycle const& course) const -> SendCheck;  // the last checks once more
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
-    auto send_duty_order(AddressedOrder order) -> awaitable<void>;
+    auto send_addressed_order(AddressedOrder order) -> awaitable<void>;
     auto ask_duty_report(ReportRequest asked) -> awaitable<void>;
     auto poll_metrics(std::string& text) const -> void;
     auto rest_loop() -> awaitable<void>;
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -63,7 +63,7 @@
     counters.weights_oldest = static_cast<std::uint64_t>(figures.oldest / one_millisecond);
     for (auto const& [partition, text] : due.words) apply_output(control.live_read(partition, now, now, text));
     for (auto& order : due.orders)
-        spawn_connection(counters, asio::make_strand(context), send_duty_order(std::move(order)));
+        spawn_connection(counters, asio::make_strand(context), send_addressed_order(std::move(order)));
     for (auto& report : due.reports)
         spawn_connection(counters, asio::make_strand(context), ask_duty_report(std::move(report)));
 }
@@ -99,7 +99,7 @@
     co_return std::nullopt;
 }
 
-auto Node::send_duty_order(AddressedOrder order) -> awaitable<void> {
+auto Node::send_addressed_order(AddressedOrder order) -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto end = OrderEnd::unreachable;
     auto status = 0;
