--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -179,7 +179,7 @@
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
     auto send_addressed_order(AddressedOrder order) -> awaitable<void>;
-    auto ask_duty_report(ReportRequest asked) -> awaitable<void>;
+    auto request_report(ReportRequest asked) -> awaitable<void>;
     auto poll_metrics(std::string& text) const -> void;
     auto rest_loop() -> awaitable<void>;
     auto step_resting() -> void;
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -65,7 +65,7 @@
     for (auto& order : due.orders)
         spawn_connection(counters, asio::make_strand(context), send_addressed_order(std::move(order)));
     for (auto& report : due.reports)
-        spawn_connection(counters, asio::make_strand(context), ask_duty_report(std::move(report)));
+        spawn_connection(counters, asio::make_strand(context), request_report(std::move(report)));
 }
 
 auto Node::weights_loop() -> awaitable<void> {
@@ -131,7 +131,7 @@
     });
 }
 
-auto Node::ask_duty_report(ReportRequest asked) -> awaitable<void> {
+auto Node::request_report(ReportRequest asked) -> awaitable<void> {
     auto ask = form->report_call();
     if (!form->headers.replica_wanted.empty()) ask.headers.emplace_back(form->headers.replica_wanted, asked.replica);
     auto const asked_at = clock_now();
