--- a/source/connection/loss_tolerance.cpp
+++ b/source/connection/loss_tolerance.cpp
@@ -31,7 +31,7 @@
     return problems;
 }
 
-auto losses_borne(Control const& control, Microseconds now) -> std::size_t {
+auto tolerated_losses(Control const& control, Microseconds now) -> std::size_t {
     auto borne = partition_count;
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = control.best_record(static_cast<int>(index));
@@ -63,7 +63,7 @@
 auto LossTolerance::look(Control const& control, Microseconds now) -> void {
     if (since != 0 && now - looked_at < look_interval) return;
     looked_at = now;
-    auto const borne = losses_borne(control, now);
+    auto const borne = tolerated_losses(control, now);
     if (since != 0 && borne == count) return;
     count = borne;
     since = now;
--- a/source/connection/loss_tolerance.hpp
+++ b/source/connection/loss_tolerance.hpp
@@ -10,7 +10,7 @@
 auto loss_problems(Control const& control, Microseconds now) -> json::array;
 // How many core nodes may be lost at once now, with their disks: what lives of the voters over a
 // majority, and of each group over one copy; a leader counts the copies that it was told are synced.
-auto losses_borne(Control const& control, Microseconds now) -> std::size_t;
+auto tolerated_losses(Control const& control, Microseconds now) -> std::size_t;
 
 // That number as it was last looked at, and since when it has been so; read by any thread.
 struct LossTolerance {
