--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -87,7 +87,7 @@
     Microseconds last_forming = 0;
     LoadRelay load_relay;  // where this is a core node
     LoadRelayChoice load_choice;
-    Microseconds load_told_at = -3'600 * one_second;
+    Microseconds load_reported_at = -3'600 * one_second;
     CacheFeedTimes cache_times;
     CacheFeed cache_feed;
     Microseconds feed_asked_at = 0;
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -37,7 +37,7 @@
                 output.sends.push_back({core.control_address, cache_feed.ask(core.identity, true, now)});
         return;
     }
-    auto const busy = now - load_told_at < cache_times.busy_for;
+    auto const busy = now - load_reported_at < cache_times.busy_for;
     if (now - feed_asked_at < (busy ? cache_times.busy : cache_times.idle)) return;
     feed_asked_at = now;
     if (auto const* relay = load_choice.choose(membership.self, cores, now))
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -24,7 +24,7 @@
     Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
     -> ControlOutput {
     ControlOutput output;
-    load_told_at = now;
+    load_reported_at = now;
     auto const cores = membership.alive_members(true);
     auto const* relay = load_choice.choose(membership.self, cores, now);
     if (relay == nullptr) return output;
