--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -83,7 +83,7 @@
     session.watch->on_gone = nullptr;  // from here on the connection may be another request's
     if (!exchange->reusable() || node.finished || client_left()) return;
     if (may_be_recalled()) reset_on_close(false);
-    connection->idle_limit = told_idle_limit(exchange->parser->get()[http::field::keep_alive]);
+    connection->idle_limit = advertised_idle_limit(exchange->parser->get()[http::field::keep_alive]);
     node.pool.give_back(course.placement.replica, std::move(connection), clock_now());
 }
 
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -42,7 +42,7 @@
 constexpr auto longest_told_seconds = std::int64_t{3'600};
 }  // namespace
 
-auto told_idle_limit(std::string_view text) -> Microseconds {
+auto advertised_idle_limit(std::string_view text) -> Microseconds {
     auto const place = text.find("timeout=");
     if (place == std::string_view::npos) return 4 * one_second;
     auto seconds = std::int64_t{0};
--- a/source/connection/replica_pool.hpp
+++ b/source/connection/replica_pool.hpp
@@ -44,7 +44,7 @@
 };
 
 // How long the other end keeps an idle connection, as the value of its `Keep-Alive` says, less a margin.
-auto told_idle_limit(std::string_view keep_alive) -> Microseconds;
+auto advertised_idle_limit(std::string_view keep_alive) -> Microseconds;
 
 // A new connection; nothing where it can't be had in time. A peer that says
 // nothing any more is noticed by probes of the system's own.
