--- a/source/process/fatal_signals.cpp
+++ b/source/process/fatal_signals.cpp
@@ -70,7 +70,7 @@
 auto set_process_phase(ProcessPhase phase) -> void { current_phase = phase; }
 
 // The handler is gone once it has run: what follows is the signal's own end, with a core file where they are kept.
-auto tell_fatal_signals(MachineLimits const& limits) -> void {
+auto report_fatal_signals(MachineLimits const& limits) -> void {
     known_limit = limits.memory();
     struct sigaction action = {};
     action.sa_handler = tell_signal;
--- a/source/process/fatal_signals.hpp
+++ b/source/process/fatal_signals.hpp
@@ -9,6 +9,6 @@
 enum class ProcessPhase : int { starting, running, stopping };
 auto set_process_phase(ProcessPhase phase) -> void;
 
-auto tell_fatal_signals(MachineLimits const& limits) -> void;
+auto report_fatal_signals(MachineLimits const& limits) -> void;
 
 }  // namespace dockrock
--- a/source/process/run_node.cpp
+++ b/source/process/run_node.cpp
@@ -65,7 +65,7 @@
     start_log(settings.log_file, name, level_of(settings.log_level));
     log_violations();
     auto const limits = machine_limits_of(settings);
-    tell_fatal_signals(limits);
+    report_fatal_signals(limits);
     write_log(Level::information, "machine-limits", write_limits(limits));
     if (auto const missing = missing_for_start(limits); !missing.empty()) {
         tell_start_failure(missing, limits);
