--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -78,7 +78,7 @@
 auto Node::interpret_in_turn(Work work) -> void {
     for (auto& queue : interpreter_queues)
         if (queue.idle()) return queue.put(std::move(work));
-    interpreter_queues[next_ticket_work++ % interpreter_queues.size()].put(std::move(work));
+    interpreter_queues[next_interpreter_queue++ % interpreter_queues.size()].put(std::move(work));
 }
 
 auto Node::apply_output(ControlOutput output) -> void {
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -94,7 +94,7 @@
     using Work = WorkQueue::Work;
     WorkQueue control_work;                     // one at a time: the control machines
     std::vector<WorkQueue> interpreter_queues;  // one for each worker: interpreting tickets
-    std::atomic<std::size_t> next_ticket_work{0};
+    std::atomic<std::size_t> next_interpreter_queue{0};
     std::array<std::atomic<std::uint64_t>, partition_count> fences_sent{};  // the highest of each
     std::unique_ptr<tcp::acceptor> acceptor;                                // on accept_strand alone, once running
     asio::strand<asio::io_context::executor_type> accept_strand{context.get_executor()};
