--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -34,7 +34,7 @@
 }
 
 auto Scheduler::enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
-    if (!ticket.counted) budget.ticket_came();
+    if (!ticket.counted) budget.deposit();
     auto& buffer = buffers[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -72,7 +72,7 @@
     double stored = 1.0;
     double most = 1.0;
     double each_request = 0.2;
-    auto ticket_came() -> void { stored = std::min(most, stored + each_request); }
+    auto deposit() -> void { stored = std::min(most, stored + each_request); }
     auto any() const -> bool { return stored >= 1.0; }
     auto take() -> void { stored -= 1.0; }
 };
