--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -114,7 +114,7 @@
 // Of the lives between restarts in one cut the words may come in any order: a former life that goes on where the
 // present one is silent is the one that runs.
 auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
-    auto const silent = now - heard_at > times.life_silence;
+    auto const silent = now - heard_at > times.instance_silence;
     if (note.life != heard_instance && is_former(note.life) && !silent) return;
     take_instance(note.life);
     heard_at = now;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -29,7 +29,7 @@
     Microseconds most_patience = 1'600 * one_millisecond;  // on slow links and after doublings
     Microseconds each_mebibyte = one_second;               // more, for what is on its way with it
     int most_doublings = 2;                                // of both, while nothing arrives by a connection that stood
-    Microseconds life_silence = one_second;                // of the present life, after which a former one is heard
+    Microseconds instance_silence = one_second;            // of the present life, after which a former one is heard
 };
 
 // The smoothed round trip and its deviation, as RFC 6298 computes them.
