--- a/source/control/weights_controller.cpp
+++ b/source/control/weights_controller.cpp
@@ -53,7 +53,8 @@
     auto const& record = control.best_record(partition);
     auto const leader = record.term > 0 && record.leader == control.membership.self.identity;
     auto const leased = control.leads(partition, now);
-    auto const waited = tenures[static_cast<std::size_t>(partition)].step(record.term, leader, leased, wait, now);
+    auto const waited =
+        takeover_waits[static_cast<std::size_t>(partition)].step(record.term, leader, leased, wait, now);
     if (!leader) {
         held[static_cast<std::size_t>(partition)] = OrdersHeld::no;
         std::erase_if(rollouts, [&](auto const& item) { return item.first.first == partition; });
--- a/source/control/weights_controller.hpp
+++ b/source/control/weights_controller.hpp
@@ -38,7 +38,7 @@
     Microseconds bound = 0;                       // named weights serve everywhere; none: no bound
     std::size_t at_once = 3;                      // replicas of one service
     Microseconds wait = 3'200 * one_millisecond;  // of a new holder
-    std::array<TakeoverWait, partition_count> tenures;
+    std::array<TakeoverWait, partition_count> takeover_waits;
     std::map<std::pair<int, std::string>, VersionsRollout> rollouts;  // by partition and model
 
     std::map<std::string, VersionTimes> named;  // by model, by the clock of this life, as leader or not
