--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -78,7 +78,7 @@
 
 auto ReplicaLoadTable::take_remote_loads(
     std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void {
-    if (digest.node == 0) digest.node = ++nodes_told;
+    if (digest.node == 0) digest.node = ++reporting_nodes;
     auto const was_active = !digest.replicas.empty();
     digest.at = at;
     for (auto const& [name, item] : digest.replicas)
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -153,7 +153,7 @@
     Microseconds swept_at = 0;
     std::uint64_t active_changes = 1;  // counts changes of the set of these
     std::uint64_t digest_number = 0;
-    std::uint64_t nodes_told = 0;  // numbers given to nodes that told
+    std::uint64_t reporting_nodes = 0;  // numbers given to nodes that told
 
     // Load through relays: the last sum heard, and what this node told lately.
     struct Summed {
