--- a/source/process/wire_protocol.hpp
+++ b/source/process/wire_protocol.hpp
@@ -22,7 +22,7 @@
     std::string tenant;
     std::string replica_wanted;
     std::string weights_wanted;
-    std::string weights_told;
+    std::string weights_reported;
     std::string salt;  // under which kept prompts are found
     std::string urgency;
     std::string fetch_from;
