--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -75,7 +75,7 @@
     };
     std::vector<HeldRequest> held_requests;
     UpdateCounts update_counts;
-    VersionHistory namings;
+    VersionHistory version_history;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
     std::optional<PendingRecovery> anew;
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -5,25 +5,25 @@
 
 auto Control::learn_version_times(int partition, Microseconds now) -> void {
     if (partition == configuration_partition || partition == resting_partition) return;
-    namings.learn(news[static_cast<std::size_t>(partition)].copy.document, now);
+    version_history.learn(news[static_cast<std::size_t>(partition)].copy.document, now);
 }
 
 // A core node asks another one and any node at all: where the whole core restarted, edges still know.
 auto Control::request_version_ages(Microseconds now, ControlOutput& output) -> void {
-    if (!settings.core || !namings.ask_due(now)) return;
+    if (!settings.core || !version_history.ask_due(now)) return;
     for (auto const core_only : {true, false}) {
         auto others = membership.alive_members(core_only);
         std::erase_if(others, [&](auto const& member) { return member.identity == membership.self.identity; });
         if (others.empty()) continue;
         auto const& other = others[random.below(others.size())];
-        output.sends.push_back({other.control_address, VersionAges{true, namings.ages(now)}});
+        output.sends.push_back({other.control_address, VersionAges{true, version_history.ages(now)}});
     }
 }
 
 auto Control::take_version_ages(
     Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output) -> void {
-    if (namings.take(told.named, now)) output.news = true;
-    if (told.asks) output.sends.push_back({address, VersionAges{false, namings.ages(now)}});
+    if (version_history.take(told.named, now)) output.news = true;
+    if (told.asks) output.sends.push_back({address, VersionAges{false, version_history.ages(now)}});
 }
 
 }  // namespace dockrock
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -31,10 +31,10 @@
 
 // A version that this node's document does not name can't be ordered, so it makes no replica late:
 // one that others tell of may have been lost with its disks.
-auto named_here(VersionHistory const& namings, std::map<std::string, std::int64_t> const& targets)
+auto named_here(VersionHistory const& version_history, std::map<std::string, std::int64_t> const& targets)
     -> std::map<std::string, VersionTimes> {
     std::map<std::string, VersionTimes> named;
-    for (auto const& [model, versions] : namings.by_model)
+    for (auto const& [model, versions] : version_history.by_model)
         if (auto const target = targets.find(model); target != targets.end())
             named[model] = versions.up_to(target->second);
     return named;
@@ -76,7 +76,7 @@
             if (item.value().is_string()) fresh->target_weights[item.key()] = std::string(item.value().as_string());
             if (item.value().is_int64()) fresh->target_versions[item.key()] = item.value().as_int64();
         }
-    fresh->named = named_here(control.namings, fresh->target_versions);
+    fresh->named = named_here(control.version_history, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
         take_words(*fresh, control.news[partition].live);
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -11,10 +11,10 @@
 constexpr auto skew = 500 * one_second;  // between the clocks of two nodes
 
 auto knower() -> VersionHistory {
-    VersionHistory namings;
-    namings.learn(R"({"m":2})", named_at);
-    namings.learn(R"({"m":3,"other":"text"})", named_at + 4 * one_second);
-    return namings;
+    VersionHistory version_history;
+    version_history.learn(R"({"m":2})", named_at);
+    version_history.learn(R"({"m":3,"other":"text"})", named_at + 4 * one_second);
+    return version_history;
 }
 
 }  // namespace
