--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -78,7 +78,7 @@
     bad.keep_alive(false);
     if (failure == boost::system::errc::not_enough_memory) {
         ++node.counters.shed;
-        co_await refuse(bad, 503, "no room for the request now", soon);
+        co_await refuse(bad, 503, "no room for the request now", short_retry_after);
         co_return co_await close_lingering(client);
     }
     if (failure == http::error::body_limit) co_await refuse(bad, 413, "the body is too large");
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -40,7 +40,8 @@
 
 auto RelaySession::refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after)
     -> awaitable<bool> {
-    if (!node.refusal_leaves(status)) std::tie(status, reason, retry_after) = std::tuple(503, not_fresh, soon);
+    if (!node.refusal_leaves(status))
+        std::tie(status, reason, retry_after) = std::tuple(503, not_fresh, short_retry_after);
     auto const keep = request.keep_alive() && !node.stopping;
     auto body = "{\"error\":" + json::serialize(json::string(reason)) + "}";
     auto head = "HTTP/1.1 " + std::to_string(status) + " " +
@@ -69,7 +70,7 @@
     node.last_request_at = now;
     if (auto const admission_ends = node.admission_ends.load(); admission_ends != 0 && now > admission_ends) {
         ++node.counters.refused;
-        co_return co_await refuse(request, 503, "this node stops", soon);
+        co_return co_await refuse(request, 503, "this node stops", short_retry_after);
     }
     // A node that has just started waits a little for its first configuration.
     for (auto count = 0;
@@ -80,9 +81,10 @@
     if (verdict.kind == Verdict::Kind::answer) {
         ++node.counters.refused;
         auto const status = verdict.status;
-        if (!node.may_refuse(judgement.proven)) co_return co_await refuse(request, 503, "no fresh configuration", soon);
+        if (!node.may_refuse(judgement.proven))
+            co_return co_await refuse(request, 503, "no fresh configuration", short_retry_after);
         node.note_refusal(status, judgement.rules);
-        co_return co_await refuse(request, status, verdict.reason, status == 503 ? soon : "");
+        co_return co_await refuse(request, status, verdict.reason, status == 503 ? short_retry_after : "");
     }
     auto const counted = CountedScope(node.open_inferences);
     auto const watched = WatchScope(*this);
@@ -180,11 +182,14 @@
                 step = result.held_back ? course.held_back() : course.ended(result.end, result.reason, limits);
                 break;
             }
-            case Step::answer_shed: ++node.counters.shed; co_return co_await refuse(request, 503, step.reason, soon);
+            case Step::answer_shed:
+                ++node.counters.shed;
+                co_return co_await refuse(request, 503, step.reason, short_retry_after);
             case Step::answer_refused:
                 ++node.counters.refused;
                 node.note_refusal(step.status, course.rules);
-                co_return co_await refuse(request, step.status, step.reason, step.status == 503 ? soon : "");
+                co_return co_await refuse(
+                    request, step.status, step.reason, step.status == 503 ? short_retry_after : "");
             case Step::answer_failure: co_return co_await write_all(answer.failure_head) && answer.keep;
             case Step::claim:
             case Step::answer_seen:
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -13,7 +13,7 @@
 namespace dockrock {
 
 // How long a client waits before it comes again: seconds, as text.
-inline constexpr auto soon = "0.3";
+inline constexpr auto short_retry_after = "0.3";
 
 // Told when the client goes away while its request is under way.
 struct ClientWatch {
