--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -221,8 +221,8 @@
     if (left > nodes || nodes == 1) return true;
     if (options.idle_open && 2 * left > limit) return true;
     // Through relays a word takes longer than the time between two words.
-    auto const untold = relayed ? unseen(state) : state.untold;
-    if (untold >= std::max<std::int64_t>(1, left / nodes)) return false;
+    auto const unreported_placements = relayed ? unseen(state) : state.unreported_placements;
+    if (unreported_placements >= std::max<std::int64_t>(1, left / nodes)) return false;
     return rank_for(state, own, now) + (relayed ? summed_rank(state, own, now) : 0) < left;
 }
 
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -91,7 +91,7 @@
     std::vector<std::pair<std::string, ReplicaLoad>> told;
     for (auto& [name, state] : replicas) {
         if (!state.recent.empty()) std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
-        state.untold = 0;
+        state.unreported_placements = 0;
         while (!state.outcomes.empty() && now - state.outcomes.front().at > outcome_window) state.outcomes.pop_front();
         if (state.placed.empty() && state.recent.empty() && state.outcomes.empty()) continue;
         auto const failed = std::count_if(
@@ -126,7 +126,7 @@
     if (now >= state.reported_at) state.placed_since += memory;
     std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
     state.recent.push_back(now);
-    ++state.untold;
+    ++state.unreported_placements;
 }
 
 auto ReplicaLoadTable::release(std::string const& name, std::uint64_t ticket) -> void {
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -81,9 +81,9 @@
     std::int64_t placed_unread = 0;
     std::deque<Outcome> outcomes;  // of own tries, within their window
     ReplicaHealth health;
-    std::vector<Microseconds> recent;  // times of own placements, last second
-    std::int64_t untold = 0;           // own placements since the last digest
-    Microseconds paused_until = 0;     // it refused for want of room
+    std::vector<Microseconds> recent;        // times of own placements, last second
+    std::int64_t unreported_placements = 0;  // own placements since the last digest
+    Microseconds paused_until = 0;           // it refused for want of room
     std::optional<ReplicaReport> report;
     Microseconds reported_at = 0;  // when the report was asked for
     Microseconds unreachable_until = 0;
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -70,7 +70,7 @@
     if (known + plain_reserve(table, state, now) > limit && own >= std::max<std::int64_t>(1, limit / nodes))
         return false;
     if (left > nodes || nodes == 1) return true;
-    if (state.untold >= std::max<std::int64_t>(1, left / nodes)) return false;
+    if (state.unreported_placements >= std::max<std::int64_t>(1, left / nodes)) return false;
     auto const seed = hash_text(state.entry.name);
     auto const mine = hash_text(table.self, seed);
     auto rank = std::int64_t{0};
