--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -13,7 +13,7 @@
 
 auto Scheduler::waiting_count() const -> std::size_t {
     auto count = std::size_t{0};
-    for (auto const& [model, buffer] : buffers) count += buffer.waiting.size();
+    for (auto const& [model, buffer] : queues) count += buffer.waiting.size();
     return count;
 }
 
@@ -35,7 +35,7 @@
 
 auto Scheduler::enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
     if (!ticket.counted) budget.deposit();
-    auto& buffer = buffers[ticket.body.model];
+    auto& buffer = queues[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
         auto ahead = std::size_t{0};
@@ -61,11 +61,11 @@
 // Only for a ticket that is known not to have run. Its extra try waits for the
 // budget a little; what the budget can't pay in time is given up (design 10.4).
 auto Scheduler::enqueue_retry(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
-    buffers[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
+    queues[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
 
 auto Scheduler::withdraw(std::uint64_t ticket) -> bool {
-    for (auto& [model, buffer] : buffers)
+    for (auto& [model, buffer] : queues)
         if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.ticket.number == ticket; }) > 0)
             return true;
     return false;
@@ -181,14 +181,14 @@
 
 auto Scheduler::match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
     if (proof_age > proof_shed_limit) {
-        for (auto& [model, buffer] : buffers) {
+        for (auto& [model, buffer] : queues) {
             for (auto const& item : buffer.waiting) shed(decisions, buffer, item.ticket.number, ShedReason::not_fresh);
             buffer.waiting.clear();
         }
         return;
     }
     if (proof_age > proof_limit) return;  // tickets wait; started answers go on
-    for (auto& [model, buffer] : buffers)
+    for (auto& [model, buffer] : queues)
         if (!buffer.waiting.empty()) schedule_model(model, buffer, now, decisions);
 }
 
@@ -198,7 +198,7 @@
     (void)now;
     load_table.release(replica, ticket.number);
     if (!answered) return;
-    auto& buffer = buffers[ticket.body.model];
+    auto& buffer = queues[ticket.body.model];
     auto const each =
         static_cast<double>(service) / static_cast<double>(std::max<std::int64_t>(1, ticket.body.max_tokens));
     buffer.service_each_token = buffer.service_each_token == 0.0 ? each : buffer.service_each_token * 0.9 + each * 0.1;
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -95,7 +95,7 @@
 struct Scheduler {
     SchedulingOptions options;
     ReplicaLoadTable load_table;
-    std::map<std::string, ModelQueue> buffers;
+    std::map<std::string, ModelQueue> queues;
     std::size_t buffer_length = 256;
     RetryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: no new entry is granted
