--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -61,14 +61,14 @@
         if (entry.placement) scheduler.load_table.release(entry.placement->replica, number);
     }
 
-    auto match(Microseconds now, Microseconds proof_age) -> void {
+    auto schedule(Microseconds now, Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
         schedule_locked(now, proof_age);
     }
 
     auto schedule_locked(Microseconds now, Microseconds proof_age) -> void {
         Decisions decisions;
-        scheduler.match(now, proof_age, decisions);
+        scheduler.schedule(now, proof_age, decisions);
         settle(decisions);
     }
 
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -179,7 +179,7 @@
     });
 }
 
-auto Scheduler::match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
+auto Scheduler::schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
     if (proof_age > proof_shed_limit) {
         for (auto& [model, buffer] : queues) {
             for (auto const& item : buffer.waiting) shed(decisions, buffer, item.ticket.number, ShedReason::not_fresh);
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -126,7 +126,7 @@
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
     auto withdraw(std::uint64_t ticket) -> bool;
-    auto match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
+    auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
     auto finished(
         std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now,
         bool answered) -> void;
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -51,9 +51,9 @@
         CHECK(enqueue(scheduler, make_ticket(number, 2'000), 0).sheds.empty());  // none fits
     CHECK(enqueue(scheduler, make_ticket(21, 10), 30 * one_second)
               .sheds.empty());  // would fit, but stands behind all of them
-    CHECK(match(scheduler, 30 * one_second).placements.empty());
+    CHECK(schedule(scheduler, 30 * one_second).placements.empty());
     scheduler.withdraw(1);
-    CHECK(match(scheduler, 30 * one_second).placements.size() == 1);
+    CHECK(schedule(scheduler, 30 * one_second).placements.size() == 1);
 }
 
 TEST_CASE("the least busy by running over capacity gets the ticket, ties go to the longest kept prefix") {
@@ -63,14 +63,14 @@
     scheduler.load_table.place("r1", make_ticket(101), 1, 1);
     scheduler.load_table.place("r2", make_ticket(102), 1, 1);
     enqueue(scheduler, make_ticket(1), 10);
-    CHECK(match(scheduler, 10).placements.at(0).replica == "r0");  // 1/4 against 1/2
-    scheduler.load_table.place("r0", make_ticket(103), 1, 1);      // r0 now 3/4
+    CHECK(schedule(scheduler, 10).placements.at(0).replica == "r0");  // 1/4 against 1/2
+    scheduler.load_table.place("r0", make_ticket(103), 1, 1);         // r0 now 3/4
     auto report = report_of(100'000);
     report.events = {{0, "kept", "7"}};
     report.next_event = 1;
     scheduler.load_table.take_report("r2", report, 20);
     enqueue(scheduler, with_prefix(make_ticket(2), {7}, 50), 30);
-    auto const placed = match(scheduler, 30).placements.at(0);
+    auto const placed = schedule(scheduler, 30).placements.at(0);
     CHECK(placed.replica == "r2");
     CHECK(placed.cached_tokens == 50);
 }
@@ -132,16 +132,16 @@
     CHECK(outranked[0].retry_after >= 1);
     low.number = 4;
     CHECK(enqueue(scheduler, low, 0).sheds.at(0).reason == ShedReason::buffer_full);
-    CHECK(match(scheduler, 100 * one_second).sheds.size() == 2);  // their deadline is now
+    CHECK(schedule(scheduler, 100 * one_second).sheds.size() == 2);  // their deadline is now
     CHECK(scheduler.waiting_count() == 0);
 }
 
 TEST_CASE("with an old proof nothing is granted, with a lost one all are told at once") {
     auto scheduler = make_granting(1);
     enqueue(scheduler, make_ticket(1), 0);
-    CHECK(match(scheduler, one_second, proof_limit + 1).placements.empty());
+    CHECK(schedule(scheduler, one_second, proof_limit + 1).placements.empty());
     CHECK(scheduler.waiting_count() == 1);
-    auto const lost = match(scheduler, 5 * one_second, proof_shed_limit + 1);
+    auto const lost = schedule(scheduler, 5 * one_second, proof_shed_limit + 1);
     REQUIRE(lost.sheds.size() == 1);
     CHECK(lost.sheds[0].reason == ShedReason::not_fresh);
 }
@@ -155,7 +155,7 @@
         enqueue(scheduler, make_ticket(number), now);
         scheduler.withdraw(number);
         scheduler.enqueue_retry(make_ticket(number), "r0", now);
-        auto const decisions = match(scheduler, now);
+        auto const decisions = schedule(scheduler, now);
         for (auto const& item : decisions.placements) {
             CHECK(item.replica == "r1");
             scheduler.load_table.release("r1", item.ticket);
@@ -175,8 +175,8 @@
     auto scheduler = make_granting(1);
     scheduler.load_table.replicas.at("r0").entry.drain = true;
     enqueue(scheduler, make_ticket(1), 0);
-    CHECK(match(scheduler, 1).sheds.empty());
-    CHECK(match(scheduler, 2 * one_second).sheds.at(0).reason == ShedReason::no_replica);
+    CHECK(schedule(scheduler, 1).sheds.empty());
+    CHECK(schedule(scheduler, 2 * one_second).sheds.at(0).reason == ShedReason::no_replica);
 }
 
 TEST_CASE("a fetch is planned only from the same weights and where it beats recomputing") {
@@ -188,14 +188,14 @@
     table.take_report("r1", report, 10);
     table.place("r1", make_ticket(50), 1, 11);  // r0 is the less busy
     enqueue(scheduler, with_prefix(make_ticket(1), {7}, 5'000), 20);
-    auto const planned = match(scheduler, 20).placements.at(0);
+    auto const planned = schedule(scheduler, 20).placements.at(0);
     CHECK(planned.replica == "r0");
     CHECK(planned.fetch.source == "127.0.0.1:9001");
     CHECK(planned.fetch.limit > 0);
     table.release("r0", 1);
     auto const planned_at = [&](std::uint64_t number, Microseconds now) {
         enqueue(scheduler, with_prefix(make_ticket(number), {7}, 5'000), now);
-        auto const placement = match(scheduler, now).placements.at(0);
+        auto const placement = schedule(scheduler, now).placements.at(0);
         table.release(placement.replica, number);
         return placement.fetch.source;
     };
@@ -217,7 +217,7 @@
         scheduler.load_table.self = name;
         scheduler.load_table.take_digest("other", 1, R"({"r0":{"count":8,"slots":8,"memory":0,"recent":0}})", 1'000);
         enqueue(scheduler, make_ticket(1), 2'000);
-        CHECK(match(scheduler, 2'000).placements.size() == 1);  // none of ours is there: ours is the place
+        CHECK(schedule(scheduler, 2'000).placements.size() == 1);  // none of ours is there: ours is the place
         auto crowded = make_granting(1, 2);
         crowded.load_table.self = name;
         for (auto number = std::uint64_t{10}; number < 14; ++number)
@@ -226,6 +226,6 @@
         crowded.load_table.take_digest("other", 1, R"({"r0":{"count":4,"slots":4,"memory":0,"recent":0}})", 1'600);
         crowded.load_table.take_digest("third", 1, R"({"r1":{"count":1,"slots":1,"memory":0,"recent":0}})", 1'600);
         enqueue(crowded, make_ticket(1), 2'000);
-        CHECK(match(crowded, 2'000).placements.empty());  // the third has none there yet
+        CHECK(schedule(crowded, 2'000).placements.empty());  // the third has none there yet
     }
 }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -87,9 +87,9 @@
     return decisions;
 }
 
-inline auto match(Scheduler& scheduler, Microseconds now, Microseconds proof_age = 0) -> Decisions {
+inline auto schedule(Scheduler& scheduler, Microseconds now, Microseconds proof_age = 0) -> Decisions {
     Decisions decisions;
-    scheduler.match(now, proof_age, decisions);
+    scheduler.schedule(now, proof_age, decisions);
     return decisions;
 }
 
--- a/tests/hollow/slopes.cpp
+++ b/tests/hollow/slopes.cpp
@@ -66,7 +66,7 @@
         {
             auto const watch = Stopwatch(spent, measured_account);
             measured.enqueue(request, now, decisions);
-            measured.match(now, 0, decisions);
+            measured.schedule(now, 0, decisions);
         }
         placing.push_back(static_cast<double>(spent));
         measured.withdraw(request.number);
--- a/tests/interleaving_test.cpp
+++ b/tests/interleaving_test.cpp
@@ -44,7 +44,7 @@
         scene->table.scheduler.load_table.replicas.at("r0").entry.drain = false;
         auto bodies = std::vector<std::function<void()>>{
             [scene, abandon] { abandon(scene->table, 1); },
-            [scene] { scene->table.match(20, 0); },
+            [scene] { scene->table.schedule(20, 0); },
             [scene] {
                 scene->table.with(
                     [](Scheduler& scheduler) { scheduler.load_table.take_report("r0", report_of(50'000), 15); });
@@ -88,7 +88,7 @@
             [scene] {
                 scene->table.with(
                     [](Scheduler& scheduler) { scheduler.finished("r0", make_ticket(100), 10, 10, true); });
-                scene->table.match(11, 0);
+                scene->table.schedule(11, 0);
             },
         };
         return std::pair(bodies, std::function<bool()>([scene] {
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -35,7 +35,7 @@
 
 auto placed_at(Scheduler& scheduler, InferenceRequest const& ticket, Microseconds now) -> std::string {
     enqueue(scheduler, ticket, now);
-    return match(scheduler, now).placements.at(0).replica;
+    return schedule(scheduler, now).placements.at(0).replica;
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
 TEST_CASE("first output ends the reading of a prompt; the place is held till the end") {
     auto scheduler = make_by_work(1);
     enqueue(scheduler, long_prompt(1, 7, 8'000, 1'000), 10);
-    auto const placement = match(scheduler, 10).placements.at(0);
+    auto const placement = schedule(scheduler, 10).placements.at(0);
     auto const& state = scheduler.load_table.replicas.at("r0");
     CHECK(placement.tokens_to_read == 9'000);
     CHECK(scheduler.load_table.unread(state, 10) == 9'000);
--- a/tests/replica_health_test.cpp
+++ b/tests/replica_health_test.cpp
@@ -33,12 +33,12 @@
     CHECK(hearer.load_table.check(hearer.load_table.replicas.at("r0"), make_ticket(1), 30) == Filter::failing);
     for (auto number = std::uint64_t{1}; number <= 4; ++number) {
         enqueue(hearer, make_ticket(number), 30);
-        CHECK(match(hearer, 30).placements.at(0).replica == "r1");
+        CHECK(schedule(hearer, 30).placements.at(0).replica == "r1");
     }
     for (auto count = 0; count < 3; ++count) teller.load_table.ended("r1", true, 40);
     hearer.load_table.take_digest("teller", 2, teller.load_table.make_digest(50), 50);
     enqueue(hearer, make_ticket(9), 60);
-    CHECK(match(hearer, 60).placements.size() == 1);
+    CHECK(schedule(hearer, 60).placements.size() == 1);
     // Outcomes past their window are told no more.
     CHECK(teller.load_table.make_digest(10 * one_second) == "{}");
 }
--- a/tests/session_wire.hpp
+++ b/tests/session_wire.hpp
@@ -65,7 +65,7 @@
         auto timer = asio::steady_timer(co_await asio::this_coro::executor);
         while (true) {
             wire.node->proven_at = clock_now();
-            wire.node->table.match(clock_now(), 0);
+            wire.node->table.schedule(clock_now(), 0);
             timer.expires_after(std::chrono::milliseconds(10));
             co_await timer.async_wait(use_tuple);
         }
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -74,14 +74,14 @@
     plane.scheduler.load_table.take_list(plane.snapshot->list);
     auto const length = plane.snapshot->rules->checked.configuration.limits.buffer_length;
     plane.scheduler.buffer_length = static_cast<std::size_t>(length);
-    match(index);
+    schedule(index);
 }
 
 auto Fleet::ticked(std::size_t index) -> void {
     auto& plane = planes[index];
     auto const now = local(index);
     auto& control = world.nodes[index]->control;
-    match(index);
+    schedule(index);
     if (!plane.reading_list && control.wants_list(now)) read_list(index);
     if (now - plane.last_reports > 250 * one_millisecond) {
         plane.last_reports = now;
@@ -163,7 +163,7 @@
             world.on_node(index, life, [this, index, name, asked_at, report] {
                 planes[index].reports[name] = report;
                 planes[index].scheduler.load_table.take_report(name, report, asked_at);
-                match(index);
+                schedule(index);
             });
         });
     }
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -151,7 +151,7 @@
     auto judge_ticket(std::size_t index, std::uint64_t number) -> Verdict;
     auto drive(std::size_t index, std::uint64_t number, LifecycleStep step) -> void;
     auto enqueue(std::size_t index, std::uint64_t number) -> void;
-    auto match(std::size_t index) -> void;
+    auto schedule(std::size_t index) -> void;
     auto decide(std::size_t index, Decisions const& decisions) -> void;
     auto facts(std::size_t index, std::string const& replica) -> LifecycleFacts;
     auto send(std::size_t index, std::uint64_t number) -> void;
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -93,12 +93,12 @@
     if (run.course.avoid) plane.scheduler.enqueue_retry(run.course.ticket, *run.course.avoid, local(index));
     else plane.scheduler.enqueue(run.course.ticket, local(index), decisions);
     decide(index, decisions);
-    match(index);
+    schedule(index);
 }
 
-auto Fleet::match(std::size_t index) -> void {
+auto Fleet::schedule(std::size_t index) -> void {
     Decisions decisions;
-    planes[index].scheduler.match(local(index), proof_age(index), decisions);
+    planes[index].scheduler.schedule(local(index), proof_age(index), decisions);
     decide(index, decisions);
 }
 
