--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -58,11 +58,11 @@
 
 }  // namespace
 
-auto run_try(Session& session, RequestLifecycle const& course, bool keep_alive) -> awaitable<TryResult> {
+auto run_try(Session& session, RequestLifecycle const& lifecycle, bool keep_alive) -> awaitable<TryResult> {
     auto& node = session.node;
-    auto const& ticket = course.ticket;
-    auto const& placement = course.placement;
-    auto const try_number = course.try_number;
+    auto const& ticket = lifecycle.ticket;
+    auto const& placement = lifecycle.placement;
+    auto const try_number = lifecycle.try_number;
     auto facts = TryFacts();
     auto const endpoint = endpoint_of(placement.address);
     if (!endpoint) co_return ended(facts, "bad-address");
@@ -73,7 +73,7 @@
     boost::system::error_code ignored;
     stream.socket().set_option(tcp::no_delay(true), ignored);
     facts.written = BytesWritten::none;
-    if (auto const look = node.check_before_send(course); look != SendCheck::send) {
+    if (auto const look = node.check_before_send(lifecycle); look != SendCheck::send) {
         auto result = ended(facts, "moved-on");
         result.held_back = look == SendCheck::moved_on;
         co_return result;
--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -31,8 +31,8 @@
 }
 
 // Into the buffer, and out of it with a placement or a shedding.
-auto Session::enter_buffer(RequestLifecycle& course) -> awaitable<LifecycleStep> {
-    auto const number = course.ticket.number;
+auto Session::enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
+    auto const number = lifecycle.ticket.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
     auto wake = [slot] {
@@ -42,27 +42,27 @@
         });
     };
     auto const began = clock_now();
-    node.table.enqueue(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(lifecycle.ticket, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
     auto const present = co_await wait_for_slot(slot);
     if (!present) {
         node.table.abandon(number);
         ++node.counters.callers_gone;
-        co_return course.gone();
+        co_return lifecycle.gone();
     }
     auto const entry = node.table.leave(number);
-    node.latency_metrics.waiting(course.ticket).add(clock_now() - began);
+    node.latency_metrics.waiting(lifecycle.ticket).add(clock_now() - began);
     if (entry.shed)
-        co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
-    co_return course.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
+        co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+    co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
-auto Session::claim(RequestLifecycle& course) -> awaitable<LifecycleStep> {
+auto Session::claim(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
     auto const executor = co_await asio::this_coro::executor;
     auto const asked_at = clock_now();
     auto const done = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(ClaimDone)>(
         [&](auto handler) {
             auto const shared = std::make_shared<decltype(handler)>(std::move(handler));
-            node.make_claim(course.ticket, false, [executor, shared](ClaimDone result) {
+            node.make_claim(lifecycle.ticket, false, [executor, shared](ClaimDone result) {
                 asio::post(executor, [shared, result]() mutable { std::move (*shared)(result); });
             });
         },
@@ -72,18 +72,20 @@
         : done.state == ClaimState::seen              ? node.counters.claims_seen
                                                       : node.counters.claims_unknown;
     ++counter;
-    co_return course.claimed(done.state, done.term, asked_at, node.lifecycle_facts(course.placement.replica));
+    co_return lifecycle.claimed(done.state, done.term, asked_at, node.lifecycle_facts(lifecycle.placement.replica));
 }
 
-auto Session::send_try(HttpRequest const& request, RequestLifecycle& course, bool& usable) -> awaitable<LifecycleStep> {
+auto Session::send_try(HttpRequest const& request, RequestLifecycle& lifecycle, bool& usable)
+    -> awaitable<LifecycleStep> {
     ++node.counters.tries;
     auto const sent_at = clock_now();
-    auto const replica = course.placement.replica;
-    auto const result = co_await run_try(*this, course, request.keep_alive());
-    node.try_ended(replica, course.ticket, result.end, result.reason, sent_at);
-    log_inference(course.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
+    auto const replica = lifecycle.placement.replica;
+    auto const result = co_await run_try(*this, lifecycle, request.keep_alive());
+    node.try_ended(replica, lifecycle.ticket, result.end, result.reason, sent_at);
+    log_inference(
+        lifecycle.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
     usable = result.usable;
-    co_return result.held_back ? course.held_back() : course.ended(result.end, result.reason);
+    co_return result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason);
 }
 
 auto Session::log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
@@ -94,46 +96,46 @@
 }
 
 auto Session::run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
-    auto course = RequestLifecycle();
-    course.ticket = std::move(verdict.ticket);
-    course.ticket.number = node.next_request_number++;
-    course.rules = sequence;
-    request_number = course.ticket.number;
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket = std::move(verdict.ticket);
+    lifecycle.ticket.number = node.next_request_number++;
+    lifecycle.rules = sequence;
+    request_number = lifecycle.ticket.number;
     if (node.resting_now) node.wake();
     try {
-        co_return co_await follow(request, course);
+        co_return co_await follow(request, lifecycle);
     } catch (...) {  // its connection ends; no place at a replica may stay taken
-        node.table.abandon(course.ticket.number);
-        node.release(course.placement.replica, course.ticket.number);
+        node.table.abandon(lifecycle.ticket.number);
+        node.release(lifecycle.placement.replica, lifecycle.ticket.number);
         throw;
     }
 }
 
-auto Session::follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool> {
+auto Session::follow(HttpRequest const& request, RequestLifecycle& lifecycle) -> awaitable<bool> {
     auto usable = false;
-    for (auto step = course.begin();;) {
+    for (auto step = lifecycle.begin();;) {
         log_inference(
-            course.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
-            course.placement.replica);
-        if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
-        if (step.release_claim) node.make_claim(course.ticket, true, {});
+            lifecycle.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
+            lifecycle.placement.replica);
+        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.ticket.number);
+        if (step.release_claim) node.make_claim(lifecycle.ticket, true, {});
         switch (step.step) {
-            case Step::enqueue: step = co_await enter_buffer(course); break;
-            case Step::claim: step = co_await claim(course); break;
+            case Step::enqueue: step = co_await enter_buffer(lifecycle); break;
+            case Step::claim: step = co_await claim(lifecycle); break;
             case Step::interpret: {
-                auto const facts = node.lifecycle_facts(course.placement.replica);
+                auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
                 auto [later, current] = co_await interpret_now(request);
-                step = course.judged(std::move(later), current->rules->sequence, facts);
+                step = lifecycle.judged(std::move(later), current->rules->sequence, facts);
                 break;
             }
-            case Step::send: step = co_await send_try(request, course, usable); break;
+            case Step::send: step = co_await send_try(request, lifecycle, usable); break;
             case Step::answer_shed: co_return co_await shed(request, step.reason, step.retry_after);
             case Step::answer_failure:  // of relayed requests alone
             case Step::answer_unknown: co_return co_await unknown(request, step.reason);
             case Step::answer_refused:
                 if (!node.refusal_leaves(step.status)) co_return co_await shed(request, "not-fresh", 1);
                 ++node.counters.refused;
-                node.note_refusal(step.status, course.rules);
+                node.note_refusal(step.status, lifecycle.rules);
                 co_return co_await answer(request, step.status, fields("outcome", "shed", "error", step.reason));
             case Step::answer_seen: co_return co_await answer(request, 409, seen_body());
             case Step::finished: co_return usable;
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -51,10 +51,10 @@
 }
 
 // Parts made under weights that are not known, and so may be any, are shared with no other request.
-auto salt_for(RequestLifecycle const& course, std::string_view identity) -> std::string {
-    auto const& wall = course.ticket.isolation_domain;
-    if (!course.placement.weights.empty()) return salt_of(wall, course.placement.weights);
-    if (course.ticket.body.prefix.empty()) return {};
+auto salt_for(RequestLifecycle const& lifecycle, std::string_view identity) -> std::string {
+    auto const& wall = lifecycle.ticket.isolation_domain;
+    if (!lifecycle.placement.weights.empty()) return salt_of(wall, lifecycle.placement.weights);
+    if (lifecycle.ticket.body.prefix.empty()) return {};
     return salt_of(wall, std::string(unknown_weights).append(identity));
 }
 
@@ -77,7 +77,7 @@
 auto keeps_connection(HttpRequest const& request) -> bool { return request.keep_alive(); }
 
 auto head_for_replica(
-    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& course,
+    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& lifecycle,
     std::int64_t last_event, Microseconds time_left) -> std::string {
     auto const& names = form.headers;
     auto const own = std::to_array<std::string_view>(
@@ -92,13 +92,14 @@
             std::any_of(own.begin(), own.end(), [&](auto item) { return !item.empty() && same(name, item); });
         if (!replaced && !connection_names.contains(name)) add(head, name, value);
     }
-    auto const& placement = course.placement;
+    auto const& placement = lifecycle.placement;
     auto const left = std::max<Microseconds>(1, time_left / one_millisecond);
     add(head, names.deadline, std::to_string(left));
     add(head, names.replica_wanted, placement.replica);
     if (judged.tenant != nullptr) add(head, names.tenant, judged.tenant->name);
     if (!placement.weights.empty()) add(head, names.weights_wanted, placement.weights);
-    if (auto const salt = salt_for(course, request[names.request_identity]); !salt.empty()) add(head, names.salt, salt);
+    if (auto const salt = salt_for(lifecycle, request[names.request_identity]); !salt.empty())
+        add(head, names.salt, salt);
     auto const urgency = placement.short_prompt ? most_urgent : urgency_of(judged.tenant, *judged.route);
     add(head, names.urgency, std::to_string(urgency));
     if (!placement.fetch.source.empty()) add(head, names.fetch_from, placement.fetch.source);
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -29,7 +29,7 @@
     write_log(
         Level::information, "weights-recalled",
         fields(
-            "replica", course.placement.replica, "version", course.placement.weights, "milliseconds",
+            "replica", lifecycle.placement.replica, "version", lifecycle.placement.weights, "milliseconds",
             (now - answer.trace.sent_at) / one_millisecond));
 }
 
@@ -41,7 +41,7 @@
     output_seen = true;
     if (may_be_recalled()) reset_on_close(false);
     auto const took = now - answer.trace.sent_at;
-    node.table.with([&](Scheduler& scheduler) { scheduler.first_output(course.placement, course.ticket, took); });
+    node.table.with([&](Scheduler& scheduler) { scheduler.first_output(lifecycle.placement, lifecycle.ticket, took); });
 }
 
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
@@ -65,7 +65,7 @@
         if (!bytes.empty()) note_output();
         if (!bytes.empty() || finished) {
             if (!answer.head_sent)
-                node.latency_metrics.first_pieces.of(course.ticket).add(clock_now() - course.ticket.arrived_at);
+                node.latency_metrics.first_pieces.of(lifecycle.ticket).add(clock_now() - lifecycle.ticket.arrived_at);
             answer.head_sent = true;
             facts.received = Received::cut_after_output;
             facts.output_resumable = route.resumable && answer.chunked;
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -91,8 +91,8 @@
     co_return co_await run(request, std::move(judgement));
 }
 
-auto RelaySession::wait_for_place(RequestLifecycle& course) -> awaitable<LifecycleStep> {
-    auto const number = course.ticket.number;
+auto RelaySession::wait_for_place(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
+    auto const number = lifecycle.ticket.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
         asio::post(slot->signal.get_executor(), [slot] {
@@ -101,85 +101,85 @@
         });
     };
     auto const began = clock_now();
-    node.table.enqueue(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(lifecycle.ticket, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
     watch->on_gone = [slot] { slot->signal.cancel(); };
     while (!watch->gone && !node.table.decided(number)) co_await slot->signal.async_wait(use_tuple);
     watch->on_gone = nullptr;
     if (watch->gone) {
         node.table.abandon(number);
         ++node.counters.callers_gone;
-        co_return course.gone();
+        co_return lifecycle.gone();
     }
     auto const entry = node.table.leave(number);
     if (entry.shed)
-        co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
-    co_return course.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
+        co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+    co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
 auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
     auto const rules = judgement.verdict.rules;  // keeps the route
     auto const& route = *judgement.verdict.route;
-    auto course = RequestLifecycle();
-    course.ticket = judgement.verdict.verdict.ticket;
-    course.ticket.number = node.next_request_number++;
-    course.rules = judgement.rules;
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket = judgement.verdict.verdict.ticket;
+    lifecycle.ticket.number = node.next_request_number++;
+    lifecycle.rules = judgement.rules;
     auto answer = RelayAnswer();
     auto usable = false;
     try {
-        usable = co_await follow(request, std::move(judgement), course, answer);
+        usable = co_await follow(request, std::move(judgement), lifecycle, answer);
     } catch (...) {  // its connection ends; no place at a replica may stay taken
-        node.table.abandon(course.ticket.number);
-        node.release(course.placement.replica, course.ticket.number);
+        node.table.abandon(lifecycle.ticket.number);
+        node.release(lifecycle.placement.replica, lifecycle.ticket.number);
         throw;
     }
     if (watch->gone) answer.trace.outcome = "caller-gone";
-    log_request(course, route, answer.trace, clock_now());
+    log_request(lifecycle, route, answer.trace, clock_now());
     co_return usable;
 }
 
 // The course of one request: the same one that the product's own tickets take.
 auto RelaySession::follow(
-    HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& course, RelayAnswer& answer)
+    HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& lifecycle, RelayAnswer& answer)
     -> awaitable<bool> {
     auto judged = std::move(judgement.verdict);
     auto const last = field_of(request, node.form->headers.last_event);
     if (!last.empty() && judged.route->resumable) answer.events.last = event_number(last);
-    for (auto step = course.begin();;) {
+    for (auto step = lifecycle.begin();;) {
         answer.trace.outcome = step_names[static_cast<std::size_t>(step.step)];
         if (!step.reason.empty()) answer.trace.outcome += ": " + step.reason;
-        if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
+        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.ticket.number);
         switch (step.step) {
             case Step::enqueue: {
                 auto const entered_at = clock_now();
-                step = co_await wait_for_place(course);
+                step = co_await wait_for_place(lifecycle);
                 answer.trace.waited += clock_now() - entered_at;
                 break;
             }
             case Step::interpret: {
-                auto const facts = node.lifecycle_facts(course.placement.replica);
-                auto later = judge(request, course.ticket.arrived_at);
+                auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
+                auto later = judge(request, lifecycle.ticket.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
-                step = course.judged(verdict, later.rules, facts);
+                step = lifecycle.judged(verdict, later.rules, facts);
                 break;
             }
             case Step::send: {
                 ++node.counters.tries;
                 auto const sent_at = clock_now();
-                auto const replica = course.placement.replica;
+                auto const replica = lifecycle.placement.replica;
                 answer.trace.sent_at = sent_at;
                 ++answer.trace.tries;
-                auto const result = co_await send_try(request, judged, course, answer);
+                auto const result = co_await send_try(request, judged, lifecycle, answer);
                 answer.trace.failure = result.end == TryEnd::answered ? std::string() : result.reason;
-                node.try_ended(replica, course.ticket, result.end, result.reason, sent_at);
+                node.try_ended(replica, lifecycle.ticket, result.end, result.reason, sent_at);
                 if (result.end != TryEnd::answered && answer.head_sent) answer.keep = false;  // visibly cut
                 if (result.end != TryEnd::answered)
                     write_log(
                         Level::debug, "try-ended",
                         fields("replica", replica, "reason", result.reason, "route", judged.route->name));
                 auto limits = RetryLimits();
-                limits.time_left = course.ticket.deadline - clock_now();
-                step = result.held_back ? course.held_back() : course.ended(result.end, result.reason, limits);
+                limits.time_left = lifecycle.ticket.deadline - clock_now();
+                step = result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason, limits);
                 break;
             }
             case Step::answer_shed:
@@ -187,7 +187,7 @@
                 co_return co_await refuse(request, 503, step.reason, short_retry_after);
             case Step::answer_refused:
                 ++node.counters.refused;
-                node.note_refusal(step.status, course.rules);
+                node.note_refusal(step.status, lifecycle.rules);
                 co_return co_await refuse(
                     request, step.status, step.reason, step.status == 503 ? short_retry_after : "");
             case Step::answer_failure: co_return co_await write_all(answer.failure_head) && answer.keep;
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -59,11 +59,12 @@
     auto handle(HttpRequest const& request) -> awaitable<bool>;
     auto judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement;
     auto run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool>;
-    auto send_try(HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle& course, RelayAnswer& answer)
+    auto send_try(
+        HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle& lifecycle, RelayAnswer& answer)
         -> awaitable<TryResult>;
-    auto follow(HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& course, RelayAnswer& answer)
+    auto follow(HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& lifecycle, RelayAnswer& answer)
         -> awaitable<bool>;
-    auto wait_for_place(RequestLifecycle& course) -> awaitable<LifecycleStep>;
+    auto wait_for_place(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
     auto refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after = std::string())
         -> awaitable<bool>;
     auto begin_watch() -> void;
@@ -77,7 +78,7 @@
 // The head of a try for its replica: what belongs to one connection, and what
 // the fleet sets itself, is never the client's. `time_left`: until the replica is to cease work.
 auto head_for_replica(
-    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& course,
+    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& lifecycle,
     std::int64_t last_event, Microseconds time_left) -> std::string;
 auto head_for_client(ReceivedAnswer const& from, bool chunked, std::optional<std::uint64_t> length, bool keep)
     -> std::string;
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -42,14 +42,14 @@
 // Where this request was sent to this replica before, a late answer to that
 // would pass for the answer to this try: only a new connection tells them apart.
 auto RelayTry::connect() -> awaitable<bool> {
-    auto const& placement = course.placement;
+    auto const& placement = lifecycle.placement;
     auto const first_there = answer.tried.insert(placement.replica).second;
     if (first_there) connection = node.pool.take(placement.replica, clock_now());
     if (connection) {
         facts.connection = ConnectionUse::reused;
     } else {
         ++node.pool.opened;
-        auto const limit = std::min<Microseconds>(connect_limit, course.ticket.deadline - clock_now());
+        auto const limit = std::min<Microseconds>(connect_limit, lifecycle.ticket.deadline - clock_now());
         connection = co_await connect_to(placement.address, std::max<Microseconds>(limit, one_millisecond));
     }
     if (!connection) {
@@ -84,7 +84,7 @@
     if (!exchange->reusable() || node.finished || client_left()) return;
     if (may_be_recalled()) reset_on_close(false);
     connection->idle_limit = advertised_idle_limit(exchange->parser->get()[http::field::keep_alive]);
-    node.pool.give_back(course.placement.replica, std::move(connection), clock_now());
+    node.pool.give_back(lifecycle.placement.replica, std::move(connection), clock_now());
 }
 
 auto RelayTry::take_failure() -> awaitable<void> {
@@ -112,27 +112,27 @@
 }
 
 auto RelaySession::send_try(
-    HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle& course, RelayAnswer& answer)
+    HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle& lifecycle, RelayAnswer& answer)
     -> awaitable<TryResult> {
-    auto attempt = RelayTry{*this, request, *judged.route, course, answer, node};
+    auto attempt = RelayTry{*this, request, *judged.route, lifecycle, answer, node};
     if (!co_await attempt.connect()) co_return attempt.result();
     attempt.close_when_client_leaves();
-    if (auto const look = node.check_before_send(course); look != SendCheck::send) {
+    if (auto const look = node.check_before_send(lifecycle); look != SendCheck::send) {
         attempt.reason = "moved-on";
         auto result = attempt.result();
         result.held_back = look == SendCheck::moved_on && result.end == TryEnd::not_written;
         co_return result;
     }
     auto const now = clock_now();
-    auto const limits = node.work_limits_at(course.placement.replica, now);
-    attempt.until = course.ticket.deadline;
+    auto const limits = node.work_limits_at(lifecycle.placement.replica, now);
+    attempt.until = lifecycle.ticket.deadline;
     attempt.begin_by = limits.begin_by;
     if (attempt.may_be_recalled()) attempt.reset_on_close(true);
     auto const& form = *node.form;
     auto const identity = request[form.headers.request_identity];
     auto asked = ExchangeRequest();
-    auto const time_left = std::min(course.ticket.deadline, limits.end_by) - now;
-    asked.head = head_for_replica(form, request, judged, course, answer.events.last, time_left);
+    auto const time_left = std::min(lifecycle.ticket.deadline, limits.end_by) - now;
+    asked.head = head_for_replica(form, request, judged, lifecycle, answer.events.last, time_left);
     asked.body = request.body();
     asked.identity_field = form.headers.request_identity;
     asked.identity = identity;
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -12,7 +12,7 @@
     RelaySession& session;
     HttpRequest const& request;
     Route const& route;
-    RequestLifecycle& course;
+    RequestLifecycle& lifecycle;
     RelayAnswer& answer;
     Node& node;
     ReplicaConnectionPointer connection = {};
--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -12,11 +12,11 @@
     last_at = now;
 }
 
-auto log_request(RequestLifecycle const& course, Route const& route, RequestTrace const& trace, Microseconds now)
+auto log_request(RequestLifecycle const& lifecycle, Route const& route, RequestTrace const& trace, Microseconds now)
     -> void {
     if (!log_writes(Level::debug)) return;
-    auto const& ticket = course.ticket;
-    auto const& placement = course.placement;
+    auto const& ticket = lifecycle.ticket;
+    auto const& placement = lifecycle.placement;
     auto const since_arrival = [&](Microseconds at) { return at == 0 ? -1 : at - ticket.arrived_at; };
     auto line = fields(
         "route", route.name, "service", ticket.body.model, "target_microseconds", route.target,
--- a/source/connection/request_trace.hpp
+++ b/source/connection/request_trace.hpp
@@ -22,7 +22,7 @@
 };
 
 // At level debug; costs nothing above it.
-auto log_request(RequestLifecycle const& course, Route const& route, RequestTrace const& trace, Microseconds now)
+auto log_request(RequestLifecycle const& lifecycle, Route const& route, RequestTrace const& trace, Microseconds now)
     -> void;
 
 }  // namespace dockrock
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -29,16 +29,16 @@
     auto handle_control(HttpRequest const& request) -> awaitable<bool>;
     auto handle_inference(HttpRequest const& request) -> awaitable<bool>;
     auto forward_application(HttpRequest const& request, Verdict verdict) -> awaitable<bool>;
-    auto follow(HttpRequest const& request, RequestLifecycle& course) -> awaitable<bool>;
+    auto follow(HttpRequest const& request, RequestLifecycle& lifecycle) -> awaitable<bool>;
     auto run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
     auto shed(HttpRequest const& request, std::string reason, std::int64_t retry_after) -> awaitable<bool>;
     auto unknown(HttpRequest const& request, std::string reason) -> awaitable<bool>;
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
     // Waits for a placement or a shedding; neither: the caller went away.
     auto wait_for_slot(std::shared_ptr<Slot> slot) -> awaitable<bool>;
-    auto enter_buffer(RequestLifecycle& course) -> awaitable<LifecycleStep>;
-    auto claim(RequestLifecycle& course) -> awaitable<LifecycleStep>;
-    auto send_try(HttpRequest const& request, RequestLifecycle& course, bool& usable) -> awaitable<LifecycleStep>;
+    auto enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
+    auto claim(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
+    auto send_try(HttpRequest const& request, RequestLifecycle& lifecycle, bool& usable) -> awaitable<LifecycleStep>;
     auto log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
         -> void;
 };
@@ -51,6 +51,6 @@
 };
 
 // Sends one try to its replica and relays the pieces (design 10).
-auto run_try(Session& session, RequestLifecycle const& course, bool keep_alive) -> awaitable<TryResult>;
+auto run_try(Session& session, RequestLifecycle const& lifecycle, bool keep_alive) -> awaitable<TryResult>;
 
 }  // namespace dockrock
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -174,8 +174,8 @@
     auto lease_checked(int partition, std::uint64_t fence) -> awaitable<std::optional<invariants::OrderFacts>>;
     // The last looks at what leaves; false where it breaks an invariant and is to be held back.
     auto refusal_leaves(int status) const -> bool;
-    auto request_leaves(RequestLifecycle const& course, LifecycleFacts const& facts) const -> bool;
-    auto check_before_send(RequestLifecycle const& course) const -> SendCheck;  // the last checks once more
+    auto request_leaves(RequestLifecycle const& lifecycle, LifecycleFacts const& facts) const -> bool;
+    auto check_before_send(RequestLifecycle const& lifecycle) const -> SendCheck;  // the last checks once more
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
     auto send_addressed_order(AddressedOrder order) -> awaitable<void>;
--- a/source/process/node_invariants.cpp
+++ b/source/process/node_invariants.cpp
@@ -50,14 +50,14 @@
     return invariants::check(invariants::RefusalFacts{status, proof_age(clock_now()), settings.bounds.apply});
 }
 
-auto Node::request_leaves(RequestLifecycle const& course, LifecycleFacts const& facts) const -> bool {
-    auto const& ticket = course.ticket;
-    auto const once = invariants::check(invariants::RunOnceFacts{ticket.body.run_once, course.may_have_run});
+auto Node::request_leaves(RequestLifecycle const& lifecycle, LifecycleFacts const& facts) const -> bool {
+    auto const& ticket = lifecycle.ticket;
+    auto const once = invariants::check(invariants::RunOnceFacts{ticket.body.run_once, lifecycle.may_have_run});
     auto const sent = invariants::check(
-        invariants::SendFacts{facts.proof_age, facts.proof_limit, facts.listed, facts.rules, course.rules});
+        invariants::SendFacts{facts.proof_age, facts.proof_limit, facts.listed, facts.rules, lifecycle.rules});
     auto const current = snapshot.load();
     if (current->overdue_check.by_model.empty()) return once && sent;
-    auto const held = current->replica_weights.find(course.placement.replica);
+    auto const held = current->replica_weights.find(lifecycle.placement.replica);
     if (held == current->replica_weights.end()) return once && sent;
     auto const bound = settings.bounds.weights - version_flight;
     auto fresh = true;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -28,10 +28,10 @@
 }
 
 // Opening a connection takes time in which rules, list and proof go on. Nothing is written yet.
-auto Node::check_before_send(RequestLifecycle const& course) const -> SendCheck {
-    auto const facts = lifecycle_facts(course.placement.replica);
-    if (!course.may_be_sent(facts)) return SendCheck::moved_on;
-    return request_leaves(course, facts) ? SendCheck::send : SendCheck::forbidden;
+auto Node::check_before_send(RequestLifecycle const& lifecycle) const -> SendCheck {
+    auto const facts = lifecycle_facts(lifecycle.placement.replica);
+    if (!lifecycle.may_be_sent(facts)) return SendCheck::moved_on;
+    return request_leaves(lifecycle, facts) ? SendCheck::send : SendCheck::forbidden;
 }
 
 auto Node::may_refuse(Microseconds proven) const -> bool { return clock_now() - proven <= refusal_limit(); }
--- a/tests/call_answer_test.cpp
+++ b/tests/call_answer_test.cpp
@@ -68,8 +68,8 @@
     auto caller = tcp::socket(wire.context);
     caller.connect(wire.client_door.local_endpoint());
     auto session = Session{*wire.node, wire.client_door.accept(), {}, 0};
-    auto const course = wire.course_of(wire.judged(false, false));
-    return outcome_of(wire.context, run_try(session, course, true));
+    auto const lifecycle = wire.course_of(wire.judged(false, false));
+    return outcome_of(wire.context, run_try(session, lifecycle, true));
 }
 
 // What the client of a forwarded call gets when the application answers with `text`.
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -123,10 +123,10 @@
 
 namespace {
 auto course_of(bool identity) -> RequestLifecycle {
-    RequestLifecycle course;
-    course.ticket.body.run_once = true;
-    course.ticket.body.identity = identity ? "mine" : "";
-    return course;
+    RequestLifecycle lifecycle;
+    lifecycle.ticket.body.run_once = true;
+    lifecycle.ticket.body.identity = identity ? "mine" : "";
+    return lifecycle;
 }
 auto good_facts() -> LifecycleFacts {
     LifecycleFacts facts;
@@ -142,21 +142,21 @@
 }  // namespace
 
 TEST_CASE("a ticket's course: nothing is sent without its claim, fresh rules, a listed replica and a fresh proof") {
-    auto course = course_of(true);
-    CHECK(course.begin().step == Step::enqueue);
-    CHECK(course.placed(placement(), good_facts()).step == Step::claim);
+    auto lifecycle = course_of(true);
+    CHECK(lifecycle.begin().step == Step::enqueue);
+    CHECK(lifecycle.placed(placement(), good_facts()).step == Step::claim);
     for (auto state : {ClaimState::not_here, ClaimState::full, ClaimState::seen}) {
-        auto other = course;
+        auto other = lifecycle;
         auto const step = other.claimed(state, 1, 0, good_facts());
         CHECK(step.step == (state == ClaimState::seen ? Step::answer_seen : Step::answer_shed));
         CHECK(step.give_back == "r0");
     }
     auto frozen = good_facts();
     frozen.now = 2 * claim_use_limit;
-    CHECK(RequestLifecycle(course).claimed(ClaimState::granted, 1, 0, frozen).step == Step::answer_shed);
+    CHECK(RequestLifecycle(lifecycle).claimed(ClaimState::granted, 1, 0, frozen).step == Step::answer_shed);
     auto drained = good_facts();
     drained.listed = false;
-    auto held = course;
+    auto held = lifecycle;
     auto const again = held.claimed(ClaimState::granted, 1, 0, drained);
     CHECK(again.step == Step::enqueue);
     CHECK(again.give_back == "r0");
@@ -178,13 +178,13 @@
 }
 
 TEST_CASE("a ticket's course: once it may have run, it is never shed and its identity is never given back") {
-    auto course = course_of(true);
-    course.ticket.body.run_once = false;
-    course.placed(placement(), good_facts());
-    CHECK(course.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
-    CHECK(course.given_up("deadline", 1).step == Step::answer_unknown);
-    CHECK_FALSE(course.given_up("deadline", 1).release_claim);
-    CHECK_FALSE(course.gone().release_claim);
+    auto lifecycle = course_of(true);
+    lifecycle.ticket.body.run_once = false;
+    lifecycle.placed(placement(), good_facts());
+    CHECK(lifecycle.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
+    CHECK(lifecycle.given_up("deadline", 1).step == Step::answer_unknown);
+    CHECK_FALSE(lifecycle.given_up("deadline", 1).release_claim);
+    CHECK_FALSE(lifecycle.gone().release_claim);
     auto once = course_of(true);
     once.claim_held = true;
     CHECK(once.ended(TryEnd::unknown_before, "broke").step == Step::answer_unknown);
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -13,7 +13,7 @@
 // A node with one listed replica under rules of sequence 1.1 and a proof of now.
 struct Sender {
     std::unique_ptr<Node> node = std::make_unique<Node>();
-    RequestLifecycle course;
+    RequestLifecycle lifecycle;
 
     Sender() {
         auto fresh = std::make_shared<Snapshot>();
@@ -23,15 +23,15 @@
         fresh->list.replicas.push_back({"replica", "127.0.0.1:1", "model", "area", 4, 1'000});
         node->snapshot = fresh;
         node->proven_at = clock_now();
-        course.rules = rules->sequence;
-        course.placement.replica = "replica";
+        lifecycle.rules = rules->sequence;
+        lifecycle.placement.replica = "replica";
     }
     auto change(std::function<void(Snapshot&)> const& work) -> void {
         auto fresh = std::make_shared<Snapshot>(*node->snapshot.load());
         work(*fresh);
         node->snapshot = fresh;
     }
-    auto leaves() const -> bool { return node->request_leaves(course, node->lifecycle_facts("replica")); }
+    auto leaves() const -> bool { return node->request_leaves(lifecycle, node->lifecycle_facts("replica")); }
 };
 
 constexpr auto order_wait = 3 * one_second;
@@ -91,11 +91,11 @@
     auto unlisted = Sender();
     unlisted.change([](auto& fresh) { fresh.list.replicas.clear(); });
     auto moved = Sender();
-    moved.course.rules = {1, 0};
+    moved.lifecycle.rules = {1, 0};
     for (auto const* sender : {&old, &leaving, &unlisted, &moved}) {
         auto const expected = ExpectedViolations{Invariant::send_under_proof};
         CHECK_FALSE(sender->leaves());
-        CHECK_FALSE(sender->course.may_be_sent(sender->node->lifecycle_facts("replica")));
+        CHECK_FALSE(sender->lifecycle.may_be_sent(sender->node->lifecycle_facts("replica")));
     }
 }
 
@@ -193,18 +193,18 @@
 TEST_CASE("planted: a second try of what runs once, after one that may have run, is held back", "[invariants]") {
     for (auto const end : {TryEnd::unknown_before, TryEnd::answered_failure, TryEnd::broken_resumable}) {
         auto sender = Sender();
-        sender.course.ticket.body.run_once = false;
-        sender.course.ticket.tries = 3;
-        sender.course.ended(end, "");
+        sender.lifecycle.ticket.body.run_once = false;
+        sender.lifecycle.ticket.tries = 3;
+        sender.lifecycle.ended(end, "");
         CHECK(sender.leaves());  // it may run again
-        sender.course.ticket.body.run_once = true;
+        sender.lifecycle.ticket.body.run_once = true;
         auto const expected = ExpectedViolations{Invariant::run_once_sent_once};
         CHECK_FALSE(sender.leaves());
     }
     for (auto const end : {TryEnd::did_not_run, TryEnd::not_sent, TryEnd::not_written}) {
         auto sender = Sender();
-        sender.course.ticket.body.run_once = true;
-        sender.course.ended(end, "");
+        sender.lifecycle.ticket.body.run_once = true;
+        sender.lifecycle.ended(end, "");
         CHECK(sender.leaves());
     }
 }
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -21,19 +21,19 @@
     node->table.scheduler.load_table.take_weights("replica", "", false);
     auto const now = clock_now();
     node->proven_at = now - 3 * one_second;  // older than the product's own limit
-    auto course = RequestLifecycle();
-    course.ticket.number = 1;
-    course.ticket.body.model = "model";
-    course.ticket.arrived_at = now;
-    course.ticket.deadline = now + 10 * one_second;
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket.number = 1;
+    lifecycle.ticket.body.model = "model";
+    lifecycle.ticket.arrived_at = now;
+    lifecycle.ticket.deadline = now + 10 * one_second;
     auto woken = false;
     node->table.enqueue(
-        course.ticket, std::nullopt, [&] { woken = true; }, now, node->proof_age(now));
+        lifecycle.ticket, std::nullopt, [&] { woken = true; }, now, node->proof_age(now));
     REQUIRE(woken);
     auto const entry = node->table.leave(1);
     REQUIRE(entry.placement);
     auto const facts = node->lifecycle_facts(entry.placement->replica);
     CHECK(facts.proof_limit == node->table.scheduler.proof_limit);
     CHECK(facts.listed);
-    CHECK(course.placed(*entry.placement, facts).step == Step::send);
+    CHECK(lifecycle.placed(*entry.placement, facts).step == Step::send);
 }
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -69,17 +69,17 @@
 TEST_CASE("a try that is kept back before it is written is none of the route's tries") {
     auto wire = Wire(saying(answer_text("id-1", "whole")));
     auto const verdict = wire.judged(false, false);
-    auto course = wire.course_of(verdict);
-    course.ticket.tries = 1;
+    auto lifecycle = wire.course_of(verdict);
+    lifecycle.ticket.tries = 1;
     auto answer = RelayAnswer();
     wire.know(true);
-    REQUIRE(wire.send(Wire::request("id-1", 4), course, answer, verdict).held_back);
-    auto const step = course.held_back();
+    REQUIRE(wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict).held_back);
+    auto const step = lifecycle.held_back();
     CHECK(step.step == Step::enqueue);
     CHECK(step.give_back == "life-1");
-    CHECK(course.try_number == 1);
-    CHECK_FALSE(course.avoid);
-    CHECK(course.may_have_run == 0);
+    CHECK(lifecycle.try_number == 1);
+    CHECK_FALSE(lifecycle.avoid);
+    CHECK(lifecycle.may_have_run == 0);
     wire.know(false);
-    CHECK(wire.send(Wire::request("id-1", 4), course, answer, verdict).end == TryEnd::answered);
+    CHECK(wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict).end == TryEnd::answered);
 }
--- a/tests/relay_heads_test.cpp
+++ b/tests/relay_heads_test.cpp
@@ -27,10 +27,10 @@
     auto judged = RelayVerdict();
     judged.route = &route;
     if (with_tenant) judged.tenant = &tenant;
-    auto course = RequestLifecycle();
-    course.ticket.deadline = 10 * one_second;
-    course.placement.replica = "life-1";
-    return head_for_replica(form, request, judged, course, -1, 3 * one_second - read_before);
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket.deadline = 10 * one_second;
+    lifecycle.placement.replica = "life-1";
+    return head_for_replica(form, request, judged, lifecycle, -1, 3 * one_second - read_before);
 }
 
 // The salt that one request with a shared prompt bears, where its replica's weights are these.
@@ -41,13 +41,13 @@
     auto route = Route();
     auto judged = RelayVerdict();
     judged.route = &route;
-    auto course = RequestLifecycle();
-    course.ticket.deadline = 10 * one_second;
-    course.ticket.isolation_domain = wall;
-    course.ticket.body.prefix.push_back({"part", 100});
-    course.placement.replica = "life-1";
-    course.placement.weights = weights;
-    auto const head = head_for_replica(form, request, judged, course, -1, 3 * one_second);
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket.deadline = 10 * one_second;
+    lifecycle.ticket.isolation_domain = wall;
+    lifecycle.ticket.body.prefix.push_back({"part", 100});
+    lifecycle.placement.replica = "life-1";
+    lifecycle.placement.weights = weights;
+    auto const head = head_for_replica(form, request, judged, lifecycle, -1, 3 * one_second);
     auto const at = head.find("Salt: ");
     return at == std::string::npos ? std::string() : head.substr(at, head.find("\r\n", at) - at);
 }
--- a/tests/relayed_test.cpp
+++ b/tests/relayed_test.cpp
@@ -123,11 +123,11 @@
     request.set("X-Kept", "kept");
     request.body() = "body";
     auto const judged = judge_relayed(rules_for_tests(), arrival("/x/1", "key-one"));
-    RequestLifecycle course;
-    course.ticket = judged.verdict.ticket;
-    course.placement.replica = "life-1";
-    course.placement.weights = "4";
-    auto const head = head_for_replica(form, request, judged, course, 12, 2 * one_second);
+    RequestLifecycle lifecycle;
+    lifecycle.ticket = judged.verdict.ticket;
+    lifecycle.placement.replica = "life-1";
+    lifecycle.placement.weights = "4";
+    auto const head = head_for_replica(form, request, judged, lifecycle, 12, 2 * one_second);
     CHECK(head.starts_with("POST /x/1?q=%20 HTTP/1.1\r\n"));
     CHECK(head.find("forged") == std::string::npos);
     CHECK(head.find("key-one") == std::string::npos);
--- a/tests/request_wire_helpers.hpp
+++ b/tests/request_wire_helpers.hpp
@@ -101,18 +101,18 @@
     }
     auto course_of(RelayVerdict const& verdict) -> RequestLifecycle {
         know(false);
-        auto course = RequestLifecycle();
-        course.ticket = verdict.verdict.ticket;
-        course.placement.replica = "life-1";
-        course.placement.address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
-        return course;
+        auto lifecycle = RequestLifecycle();
+        lifecycle.ticket = verdict.verdict.ticket;
+        lifecycle.placement.replica = "life-1";
+        lifecycle.placement.address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
+        return lifecycle;
     }
-    auto send(HttpRequest const& request, RequestLifecycle& course, RelayAnswer& answer, RelayVerdict const& verdict)
+    auto send(HttpRequest const& request, RequestLifecycle& lifecycle, RelayAnswer& answer, RelayVerdict const& verdict)
         -> TryResult {
         auto result = TryResult();
         auto done = false;
         asio::co_spawn(
-            context, session->send_try(request, verdict, course, answer), [&](std::exception_ptr, TryResult made) {
+            context, session->send_try(request, verdict, lifecycle, answer), [&](std::exception_ptr, TryResult made) {
                 result = std::move(made);
                 done = true;
             });
@@ -122,9 +122,9 @@
     // A first try of a new request.
     auto ask(std::string name = "id-1", bool stream = false, std::size_t body = 4) -> TryResult {
         auto const verdict = judged(false, stream);
-        auto course = course_of(verdict);
+        auto lifecycle = course_of(verdict);
         auto answer = RelayAnswer();
-        return send(request(name, body), course, answer, verdict);
+        return send(request(name, body), lifecycle, answer, verdict);
     }
     static auto request(std::string const& name, std::size_t body, http::verb method = http::verb::post)
         -> HttpRequest {
--- a/tests/request_wire_test.cpp
+++ b/tests/request_wire_test.cpp
@@ -72,12 +72,12 @@
         co_await peer.until("never");
     });
     auto const verdict = wire.judged(false, false);
-    auto course = wire.course_of(verdict);
+    auto lifecycle = wire.course_of(verdict);
     auto answer = RelayAnswer();
     auto const request = Wire::request("id-1", 4);
-    REQUIRE(wire.send(request, course, answer, verdict).end == TryEnd::did_not_run);
+    REQUIRE(wire.send(request, lifecycle, answer, verdict).end == TryEnd::did_not_run);
     REQUIRE(wire.pooled() == 1);
-    CHECK(wire.send(request, course, answer, verdict).end == TryEnd::answered);
+    CHECK(wire.send(request, lifecycle, answer, verdict).end == TryEnd::answered);
     CHECK(wire.accepted == 2);
 }
 
@@ -183,9 +183,9 @@
             co_await peer.until("never");
         });
         auto const verdict = wire.judged(false, false);
-        auto course = wire.course_of(verdict);
+        auto lifecycle = wire.course_of(verdict);
         auto answer = RelayAnswer();
-        CHECK(wire.send(Wire::request("id-1", 0, method), course, answer, verdict).end == TryEnd::answered);
+        CHECK(wire.send(Wire::request("id-1", 0, method), lifecycle, answer, verdict).end == TryEnd::answered);
         CHECK(wire.seen_by_client().ends_with("\r\n\r\n"));
         CHECK(wire.pooled() == 1);
         CHECK_FALSE(answer.chunked);
@@ -236,12 +236,12 @@
 TEST_CASE("a replica that leaves while its connection is opened gets nothing, and another try may follow") {
     auto wire = Wire(saying(answer_text("id-1", "whole")));
     auto const verdict = wire.judged(false, false);
-    auto course = wire.course_of(verdict);
+    auto lifecycle = wire.course_of(verdict);
     auto answer = RelayAnswer();
     wire.know(true);
-    auto const result = wire.send(Wire::request("id-1", 4), course, answer, verdict);
+    auto const result = wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict);
     CHECK(result.end == TryEnd::not_written);
     CHECK(result.reason == "moved-on");
     CHECK(result.held_back);
-    CHECK(course.ended(result.end, result.reason).step == Step::enqueue);
+    CHECK(lifecycle.ended(result.end, result.reason).step == Step::enqueue);
 }
--- a/tests/retry_decision_test.cpp
+++ b/tests/retry_decision_test.cpp
@@ -135,40 +135,40 @@
 TEST_CASE("one request is sent to no more replicas than its route's tries, whatever happens") {
     for (auto tries = std::int64_t{1}; tries <= 4; ++tries)
         for (auto once : {false, true}) {
-            auto course = RequestLifecycle();
-            course.ticket.tries = tries;
-            course.ticket.body.run_once = once;
+            auto lifecycle = RequestLifecycle();
+            lifecycle.ticket.tries = tries;
+            lifecycle.ticket.body.run_once = once;
             auto sent = std::int64_t{1};
-            while (course.ended(TryEnd::did_not_run, "busy").step == Step::enqueue) ++sent;
+            while (lifecycle.ended(TryEnd::did_not_run, "busy").step == Step::enqueue) ++sent;
             CHECK(sent == tries);
         }
 }
 
 TEST_CASE("no time left: nothing is sent, and what has not run is refused") {
-    auto course = RequestLifecycle();
-    course.ticket.deadline = 5 * one_second;
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket.deadline = 5 * one_second;
     auto facts = LifecycleFacts();
     facts.listed = true;
     facts.now = 5 * one_second - 1;
-    CHECK(course.placed(Placement(), facts).step == Step::send);
+    CHECK(lifecycle.placed(Placement(), facts).step == Step::send);
     facts.now = 5 * one_second;
-    CHECK(course.placed(Placement(), facts).step == Step::answer_shed);
-    course.ticket.body.run_once = false;
-    course.ended(TryEnd::unknown_before, "broke");
-    CHECK(course.placed(Placement(), facts).step == Step::answer_unknown);
+    CHECK(lifecycle.placed(Placement(), facts).step == Step::answer_shed);
+    lifecycle.ticket.body.run_once = false;
+    lifecycle.ended(TryEnd::unknown_before, "broke");
+    CHECK(lifecycle.placed(Placement(), facts).step == Step::answer_unknown);
 }
 
 TEST_CASE("rules that move while a request waits never let it run more often or on more replicas") {
-    auto course = RequestLifecycle();
-    course.ticket.body.run_once = false;
-    course.ticket.tries = 3;
-    CHECK(course.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket.body.run_once = false;
+    lifecycle.ticket.tries = 3;
+    CHECK(lifecycle.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
     auto verdict = Verdict();
     verdict.kind = Verdict::Kind::enqueue;
     verdict.ticket.body.run_once = true;
     verdict.ticket.tries = 9;
-    CHECK(course.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::answer_unknown);
-    CHECK(course.ticket.tries == 3);
+    CHECK(lifecycle.judged(verdict, {1, 2}, LifecycleFacts()).step == Step::answer_unknown);
+    CHECK(lifecycle.ticket.tries == 3);
     auto fresh = RequestLifecycle();
     verdict.ticket.chain = {7};  // enters again, with what it was
     fresh.ticket.body.run_once = false;
--- a/tests/simulation/fleet.hpp
+++ b/tests/simulation/fleet.hpp
@@ -74,7 +74,7 @@
 };
 
 struct CourseRun {
-    RequestLifecycle course;
+    RequestLifecycle lifecycle;
     bool entered = false;
 };
 
@@ -156,7 +156,7 @@
     auto facts(std::size_t index, std::string const& replica) -> LifecycleFacts;
     auto send(std::size_t index, std::uint64_t number) -> void;
     auto check_refused(std::size_t index, int status) -> void;
-    auto check_sent(std::size_t index, RequestLifecycle const& course) -> void;
+    auto check_sent(std::size_t index, RequestLifecycle const& lifecycle) -> void;
     auto check_ordered(std::size_t index, Order const& order) -> void;
     auto ended(std::size_t index, std::uint64_t number, std::string const& replica, TryEnd end, std::string reason)
         -> void;
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -25,11 +25,11 @@
     if (verdict.kind != Verdict::Kind::enqueue && proof_age(index) <= proof_limit) check_refused(index, verdict.status);
     if (verdict.kind != Verdict::Kind::enqueue || plane.stopping) return finish(number, "shed");
     auto& run = plane.courses[number];
-    run.course.ticket = std::move(verdict.ticket);
-    run.course.rules = plane.snapshot->rules->sequence;
-    if (options.planted_skip_claims) run.course.claim_held = true;
-    run.course.claimed_at = local(index);
-    drive(index, number, run.course.begin());
+    run.lifecycle.ticket = std::move(verdict.ticket);
+    run.lifecycle.rules = plane.snapshot->rules->sequence;
+    if (options.planted_skip_claims) run.lifecycle.claim_held = true;
+    run.lifecycle.claimed_at = local(index);
+    drive(index, number, run.lifecycle.begin());
 }
 
 auto Fleet::facts(std::size_t index, std::string const& replica) -> LifecycleFacts {
@@ -47,21 +47,21 @@
     auto& plane = planes[index];
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
-    auto& course = found->second.course;
+    auto& lifecycle = found->second.lifecycle;
     if (!step.give_back.empty()) plane.scheduler.load_table.release(step.give_back, number);
     auto const ticket = claim_owner(world.nodes[index]->control.membership.self.identity, number);
-    auto const part = partition_of_service(course.ticket.body.model);
-    if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(course.ticket), ticket, true}, {});
+    auto const part = partition_of_service(lifecycle.ticket.body.model);
+    if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(lifecycle.ticket), ticket, true}, {});
     if (options.planted_shed_after_run && step.step == Step::answer_unknown) step.step = Step::answer_shed;
     switch (step.step) {
         case Step::enqueue: return enqueue(index, number);
         case Step::claim:
             return world.claim(
-                index, ClaimAsk{part, 0, claim_key(course.ticket), ticket, false},
+                index, ClaimAsk{part, 0, claim_key(lifecycle.ticket), ticket, false},
                 [this, index, number, asked_at = local(index)](ClaimDone const& done) {
                     auto const later_found = planes[index].courses.find(number);
                     if (later_found == planes[index].courses.end()) return;
-                    auto& claimed = later_found->second.course;
+                    auto& claimed = later_found->second.lifecycle;
                     drive(
                         index, number,
                         claimed.claimed(done.state, done.term, asked_at, facts(index, claimed.placement.replica)));
@@ -70,7 +70,7 @@
             auto verdict = judge_ticket(index, number);
             auto const under = plane.snapshot->rules->sequence;
             return drive(
-                index, number, course.judged(std::move(verdict), under, facts(index, course.placement.replica)));
+                index, number, lifecycle.judged(std::move(verdict), under, facts(index, lifecycle.placement.replica)));
         }
         case Step::send: return send(index, number);
         case Step::answer_shed:
@@ -90,8 +90,8 @@
     auto& run = plane.courses.at(number);
     run.entered = true;
     Decisions decisions;
-    if (run.course.avoid) plane.scheduler.enqueue_retry(run.course.ticket, *run.course.avoid, local(index));
-    else plane.scheduler.enqueue(run.course.ticket, local(index), decisions);
+    if (run.lifecycle.avoid) plane.scheduler.enqueue_retry(run.lifecycle.ticket, *run.lifecycle.avoid, local(index));
+    else plane.scheduler.enqueue(run.lifecycle.ticket, local(index), decisions);
     decide(index, decisions);
     schedule(index);
 }
@@ -110,7 +110,7 @@
         found->second.entered = false;
         drive(
             index, shed.ticket,
-            found->second.course.given_up(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
+            found->second.lifecycle.given_up(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
     }
     for (auto const& placement : decisions.placements) {  // between the match and the checks a node may be frozen
         if (auto const found = plane.courses.find(placement.ticket); found != plane.courses.end())
@@ -120,20 +120,22 @@
                 auto const found = planes[index].courses.find(placement.ticket);
                 if (found == planes[index].courses.end())
                     return planes[index].scheduler.load_table.release(placement.replica, placement.ticket);
-                drive(index, placement.ticket, found->second.course.placed(placement, facts(index, placement.replica)));
+                drive(
+                    index, placement.ticket,
+                    found->second.lifecycle.placed(placement, facts(index, placement.replica)));
             });
         });
     }
 }
 
 auto Fleet::send(std::size_t index, std::uint64_t number) -> void {
-    auto const& course = planes[index].courses.at(number).course;
-    check_sent(index, course);
-    if (course.try_number > 1) extra_try_times.push_back(world.now);
-    auto const target = static_cast<std::size_t>(std::strtoul(course.placement.replica.c_str() + 1, nullptr, 10));
+    auto const& lifecycle = planes[index].courses.at(number).lifecycle;
+    check_sent(index, lifecycle);
+    if (lifecycle.try_number > 1) extra_try_times.push_back(world.now);
+    auto const target = static_cast<std::size_t>(std::strtoul(lifecycle.placement.replica.c_str() + 1, nullptr, 10));
     later(
         link(),
-        [this, target, index, number, ticket = course.ticket, placement = course.placement,
+        [this, target, index, number, ticket = lifecycle.ticket, placement = lifecycle.placement,
          life = world.nodes[index]->life] {
             if (replicas[target]->up) return receive(target, index, number, ticket, placement);
             later(link(), [this, index, number, life, name = placement.replica] {  // nothing could be written
@@ -150,11 +152,11 @@
 }
 
 // As a node looks at it right before it writes.
-auto Fleet::check_sent(std::size_t index, RequestLifecycle const& course) -> void {
-    auto const known = facts(index, course.placement.replica);
+auto Fleet::check_sent(std::size_t index, RequestLifecycle const& lifecycle) -> void {
+    auto const known = facts(index, lifecycle.placement.replica);
     auto const age = world.nodes[index]->control.proof_age(configuration_partition, known.now);
-    invariants::check(invariants::SendFacts{age, known.proof_limit, known.listed, known.rules, course.rules});
-    invariants::check(invariants::RunOnceFacts{course.ticket.body.run_once, course.may_have_run});
+    invariants::check(invariants::SendFacts{age, known.proof_limit, known.listed, known.rules, lifecycle.rules});
+    invariants::check(invariants::RunOnceFacts{lifecycle.ticket.body.run_once, lifecycle.may_have_run});
 }
 
 auto Fleet::ended(std::size_t index, std::uint64_t number, std::string const& replica, TryEnd end, std::string reason)
@@ -162,15 +164,16 @@
     auto& plane = planes[index];
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
-    auto& course = found->second.course;
+    auto& lifecycle = found->second.lifecycle;
     auto const now = local(index);
-    plane.scheduler.finished(replica, course.ticket, now - course.ticket.arrived_at, now, end == TryEnd::answered);
+    plane.scheduler.finished(
+        replica, lifecycle.ticket, now - lifecycle.ticket.arrived_at, now, end == TryEnd::answered);
     if (end == TryEnd::not_sent) plane.scheduler.load_table.report_failed(replica, now);
     if (end == TryEnd::did_not_run) plane.scheduler.load_table.refused(replica, reason, now);
-    auto step = course.ended(end, reason);
+    auto step = lifecycle.ended(end, reason);
     if (options.planted_repeat_unknown && step.step == Step::answer_unknown) {
         step.step = Step::enqueue;
-        course.avoid = replica;
+        lifecycle.avoid = replica;
     }
     if (end == TryEnd::answered) finish(number, "answered");
     if (end == TryEnd::broken_after) finish(number, "broken");
--- a/tests/simulation/scenario_losses.cpp
+++ b/tests/simulation/scenario_losses.cpp
@@ -150,16 +150,16 @@
 
 auto Scenario::losses() -> void {
     change_interval = 200 * one_millisecond;
-    auto course = Losses{*this, {}, {}};
+    auto lifecycle = Losses{*this, {}, {}};
     run_for(catch_up_limit());
     for (auto round = 0; round < rounds; ++round) {
-        if (random.below(2) == 0) course.after_an_acknowledgement();
-        auto const lost = course.victims();
+        if (random.below(2) == 0) lifecycle.after_an_acknowledgement();
+        auto const lost = lifecycle.victims();
         auto const planned = random.below(5) == 0;
-        if (planned) course.lose(lost.front(), Loss::planned);
+        if (planned) lifecycle.lose(lost.front(), Loss::planned);
         else
             for (auto index : lost)
-                course.lose(
+                lifecycle.lose(
                     index, static_cast<Loss>(random.below(2) + (random.below(4) == 0 && lost.size() == 1 ? 2 : 0)));
         run_until(
             [&] {
@@ -168,8 +168,8 @@
             stop_limit);
         await_bearable(catch_up_limit());
     }
-    for (auto index : cores) course.tell_seeds(index);
-    course.after_an_acknowledgement();
+    for (auto index : cores) lifecycle.tell_seeds(index);
+    lifecycle.after_an_acknowledgement();
     auto const group = members();
     auto wiped = std::set<std::size_t>(group.begin(), group.begin() + static_cast<std::ptrdiff_t>(options.losses));
     if (random.below(3) == 0) wiped = {cores.begin(), cores.begin() + static_cast<std::ptrdiff_t>(options.losses)};
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -114,33 +114,33 @@
         auto const verdict = judged(rules, identity);
         CHECK(verdict.verdict.ticket.body.model != "b");
         CHECK(judged(rules, identity).verdict.ticket.body.model == verdict.verdict.ticket.body.model);
-        auto course = RequestLifecycle();
-        course.ticket = verdict.verdict.ticket;
-        course.ticket.tries = 3;
-        CHECK(course.ended(TryEnd::did_not_run, "busy").step == Step::enqueue);
-        CHECK(course.ended(TryEnd::not_sent, "unreachable").step == Step::enqueue);
-        CHECK(course.ticket.body.model == verdict.verdict.ticket.body.model);
+        auto lifecycle = RequestLifecycle();
+        lifecycle.ticket = verdict.verdict.ticket;
+        lifecycle.ticket.tries = 3;
+        CHECK(lifecycle.ended(TryEnd::did_not_run, "busy").step == Step::enqueue);
+        CHECK(lifecycle.ended(TryEnd::not_sent, "unreachable").step == Step::enqueue);
+        CHECK(lifecycle.ticket.body.model == verdict.verdict.ticket.body.model);
     }
 }
 
 TEST_CASE("a route that moves to another service while a request waits takes the request along") {
     auto const before = compile_services(split_document({{"a", 1}}));
     auto const after = compile_services(split_document({{"b", 1}}));
-    auto course = RequestLifecycle();
-    course.ticket = judged(before, "id-1").verdict.ticket;
-    course.ticket.number = 7;
+    auto lifecycle = RequestLifecycle();
+    lifecycle.ticket = judged(before, "id-1").verdict.ticket;
+    lifecycle.ticket.number = 7;
     auto facts = LifecycleFacts();
     facts.rules = {1, 2};
     facts.listed = true;
     auto placement = Placement();
     placement.replica = "life-of-a";
-    REQUIRE(course.placed(placement, facts).step == Step::interpret);
-    auto begun = course;
-    auto const step = course.judged(judged(after, "id-1").verdict, facts.rules, facts);
+    REQUIRE(lifecycle.placed(placement, facts).step == Step::interpret);
+    auto begun = lifecycle;
+    auto const step = lifecycle.judged(judged(after, "id-1").verdict, facts.rules, facts);
     CHECK(step.step == Step::enqueue);
     CHECK(step.give_back == "life-of-a");
-    CHECK(course.ticket.body.model == "b");
-    CHECK(course.ticket.number == 7);
+    CHECK(lifecycle.ticket.body.model == "b");
+    CHECK(lifecycle.ticket.number == 7);
     begun.history.output_begun = true;  // a stream under way goes on where it began
     CHECK(begun.judged(judged(after, "id-1").verdict, facts.rules, facts).step == Step::send);
     CHECK(begun.ticket.body.model == "a");
--- a/tests/stale_course_test.cpp
+++ b/tests/stale_course_test.cpp
@@ -12,18 +12,18 @@
 
 TEST_CASE("rules that moved refuse as they say under a young proof and with 503 under an old one") {
     for (auto const status : {401, 403, 404}) {
-        auto course = RequestLifecycle();
+        auto lifecycle = RequestLifecycle();
         auto verdict = Verdict();
         verdict.kind = Verdict::Kind::answer;
         verdict.status = status;
         auto facts = LifecycleFacts();
         facts.proof_limit = 5 * one_second;
         facts.proof_age = young_proof;
-        auto const young = course.judged(verdict, {1, 1}, facts);
+        auto const young = lifecycle.judged(verdict, {1, 1}, facts);
         CHECK(young.step == Step::answer_refused);
         CHECK(young.status == status);
         facts.proof_age = old_proof;
-        auto const old = course.judged(verdict, {1, 1}, facts);
+        auto const old = lifecycle.judged(verdict, {1, 1}, facts);
         CHECK((old.step == Step::answer_shed || old.step == Step::answer_refused));
         CHECK(old.status == 503);
     }
--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -23,7 +23,7 @@
 struct OlderWeights {
     Wire wire;
     RelayVerdict verdict = wire.judged(false, true);
-    RequestLifecycle course = wire.course_of(verdict);
+    RequestLifecycle lifecycle = wire.course_of(verdict);
     RelayAnswer answer;
 
     OlderWeights(Script script, Microseconds left) : wire(std::move(script)) {
@@ -34,7 +34,7 @@
         snapshot->named["m"].at[2] = clock_now() + left - bound;
         wire.node->snapshot = snapshot;
     }
-    auto ask() -> TryResult { return wire.send(Wire::request("id-1", 4), course, answer, verdict); }
+    auto ask() -> TryResult { return wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict); }
 };
 
 }  // namespace
