--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -78,7 +78,7 @@
     VersionHistory version_history;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
-    std::optional<PendingRecovery> anew;
+    std::optional<PendingRecovery> recovery;
     bool recovers_fleet = false;  // this core node holds the copies to form from
     Microseconds blank_since = 0;
     std::vector<std::string> cores_seen;  // the last set of core nodes seen, while this node is blank
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -105,8 +105,8 @@
 }
 
 auto Control::on(Arrival const& arrival, RecoveryAnswer const& answer) -> void {
-    if (!anew || anew->token != answer.token) return;
-    if (anew->silent.erase(arrival.address) > 0) take_recovery(answer.partitions);
+    if (!recovery || recovery->token != answer.token) return;
+    if (recovery->silent.erase(arrival.address) > 0) take_recovery(answer.partitions);
 }
 
 auto Control::on(Arrival const& arrival, RecoverFleet const& order) -> void {
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -34,7 +34,7 @@
 
 auto Control::recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
-    auto const busy = anew.has_value();
+    auto const busy = recovery.has_value();
     auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_parts(), 0};
     auto const refused = [&](std::string_view what) {
         auto const body = json::serialize(fields("error", std::string(what) + "; nothing was done"));
@@ -52,13 +52,13 @@
         fresh.silent.insert(member.control_address);
         output.sends.push_back({member.control_address, RecoveryRequest{fresh.token}});
     }
-    anew = std::move(fresh);
+    recovery = std::move(fresh);
     return output;
 }
 
 auto Control::take_recovery(std::vector<HeldPartition> const& told) -> void {
-    for (auto index = std::size_t{0}; index < std::min(told.size(), anew->best.size()); ++index) {
-        auto& best = anew->best[index];
+    for (auto index = std::size_t{0}; index < std::min(told.size(), recovery->best.size()); ++index) {
+        auto& best = recovery->best[index];
         if (told[index].term > best.term) {
             best.term = told[index].term;
             if (!told[index].voters.empty()) best.voters = told[index].voters;
@@ -72,22 +72,22 @@
 
 auto Control::end_recovery(int status, std::string_view what, ControlOutput& output) -> void {
     auto const* name = status == 200 ? "state" : "error";
-    output.results.push_back({"", anew->local_token, status, json::serialize(fields(name, std::string(what))), ""});
-    anew.reset();
+    output.results.push_back({"", recovery->local_token, status, json::serialize(fields(name, std::string(what))), ""});
+    recovery.reset();
 }
 
 auto Control::tick_recovery(Microseconds now, ControlOutput& output) -> void {
-    if (!anew) return;
-    if (anew->term != 0) {
+    if (!recovery) return;
+    if (recovery->term != 0) {
         auto const& record = best_record(configuration_partition);
-        if (record.term > anew->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
-        if (now - anew->sent_at > send_interval) send_recovery(now, output);  // the last one may be lost
-        if (now - anew->since > forming_limit)
+        if (record.term > recovery->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
+        if (now - recovery->sent_at > send_interval) send_recovery(now, output);  // the last one may be lost
+        if (now - recovery->since > forming_limit)
             end_recovery(504, "not formed yet; look at the status, order again", output);
         return;
     }
-    if (!anew->silent.empty() && now - anew->since < gather_limit) return;
-    if (auto const voter = old_voter_alive(anew->best); !voter.empty())
+    if (!recovery->silent.empty() && now - recovery->since < gather_limit) return;
+    if (auto const voter = old_voter_alive(recovery->best); !voter.empty())
         return end_recovery(
             409, "core node " + voter + " of the fleet that was still answers; nothing was done", output);
     auto cores = membership.alive_members(true);
@@ -95,20 +95,20 @@
     std::sort(cores.begin(), cores.end(), [](auto const& left, auto const& right) {
         return left.control_address < right.control_address;
     });
-    auto order = RecoverFleet{0, {}, anew->best};
-    for (auto const& partition : anew->best) order.term = std::max(order.term, partition.term + 1);
+    auto order = RecoverFleet{0, {}, recovery->best};
+    for (auto const& partition : recovery->best) order.term = std::max(order.term, partition.term + 1);
     for (auto const& core : cores) order.voters.push_back(core.identity);
-    anew->term = order.term;
-    anew->since = now;
-    anew->order = std::move(order);
-    anew->at = cores.front().control_address;
+    recovery->term = order.term;
+    recovery->since = now;
+    recovery->order = std::move(order);
+    recovery->at = cores.front().control_address;
     send_recovery(now, output);
 }
 
 auto Control::send_recovery(Microseconds now, ControlOutput& output) -> void {
-    anew->sent_at = now;
-    if (anew->at == membership.self.control_address) on_recover_fleet(now, anew->order, output);
-    else output.sends.push_back({anew->at, anew->order});
+    recovery->sent_at = now;
+    if (recovery->at == membership.self.control_address) on_recover_fleet(now, recovery->order, output);
+    else output.sends.push_back({recovery->at, recovery->order});
 }
 
 // Only a core node that had no say in the fleet that was: its disk knows nothing better.
