--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-auto Partition::fly(Context& context) -> void {
+auto Partition::replicate(Context& context) -> void {
     // The leader's own copy is synced first: a leader that restarts can then
     // never give one sequence to two changes (design 5.4).
     in_flight = true;
@@ -74,7 +74,7 @@
             checked_outcome(*this, waiter.sequence, {waiter.origin, waiter.token, waiter.status, waiter.body, etag}));
         return true;
     });
-    if (copy.sequence > committed->sequence) fly(context);
+    if (copy.sequence > committed->sequence) replicate(context);
     take_queued(context);
 }
 
@@ -116,7 +116,7 @@
     if (!before) return;
     last_change = change_between(*before, copy);
     save_change(context, last_change, {});
-    if (!in_flight) fly(context);
+    if (!in_flight) replicate(context);
 }
 
 // A node that holds the newest document is told so, without the document.
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -96,9 +96,9 @@
         last_change = CopyChange{copy.sequence, fresh, text_digest(copy.document), {}, 0, {}};
         copy.sequence = fresh;
         save_change(context, last_change, {});
-        fly(context);
+        replicate(context);
     } else if (!committed) {
-        fly(context);
+        replicate(context);
     }
 }
 
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -205,7 +205,7 @@
     auto copies_taken(Context& context) -> void;
     auto pass_over(Context& context) -> void;
     auto send_proposal(Context& context) -> void;
-    auto fly(Context& context) -> void;
+    auto replicate(Context& context) -> void;
     auto send_replication(Context& context) -> void;
     auto sweep_spares(Context& context) -> void;
     auto offer_spare(Context& context, std::string const& spare, Appended const& answer) -> void;
