--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -129,7 +129,7 @@
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
     auto recover_fleet(std::function<void(CallDone)> done) -> void;
     auto make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
-    auto release(std::string const& replica, std::uint64_t ticket) -> void;
+    auto release(std::string const& replica, std::uint64_t request_number) -> void;
     auto try_ended(
         std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
         Microseconds sent_at) -> void;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -4,8 +4,8 @@
 
 namespace dockrock {
 
-auto Node::release(std::string const& replica, std::uint64_t ticket) -> void {
-    table.with([&](Scheduler& scheduler) { scheduler.load_table.release(replica, ticket); });
+auto Node::release(std::string const& replica, std::uint64_t request_number) -> void {
+    table.with([&](Scheduler& scheduler) { scheduler.load_table.release(replica, request_number); });
 }
 
 // For the last checks. They hold what matching held: a try that matching allows
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -92,16 +92,16 @@
 
     auto settle(Decisions const& decisions) -> void {
         for (auto const& placement : decisions.placements) {
-            auto const found = entries.find(placement.ticket);
+            auto const found = entries.find(placement.request_number);
             if (found == entries.end()) {
-                scheduler.load_table.release(placement.replica, placement.ticket);
+                scheduler.load_table.release(placement.replica, placement.request_number);
                 continue;
             }
             found->second.placement = placement;
             found->second.wake();
         }
         for (auto const& shed : decisions.sheds) {
-            auto const found = entries.find(shed.ticket);
+            auto const found = entries.find(shed.request_number);
             if (found == entries.end()) continue;
             found->second.shed = shed;
             found->second.wake();
--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -6,8 +6,8 @@
 
 namespace dockrock {
 
-auto ReplicaState::take_away(std::uint64_t ticket) -> void {
-    auto const found = placed.find(ticket);
+auto ReplicaState::take_away(std::uint64_t request_number) -> void {
+    auto const found = placed.find(request_number);
     if (found == placed.end()) return;
     placed_slots -= found->second.slots;
     placed_memory -= found->second.memory;
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -57,7 +57,7 @@
     state.reported_at = asked_at;
     state.unreachable = false;
     state.placed_since = 0;
-    for (auto const& [ticket, placed] : state.placed)
+    for (auto const& [request_number, placed] : state.placed)
         if (placed.at >= asked_at) state.placed_since += placed.memory;
     state.sum_remote();
 }
@@ -129,15 +129,15 @@
     ++state.unreported_placements;
 }
 
-auto ReplicaLoadTable::release(std::string const& name, std::uint64_t ticket) -> void {
-    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(ticket);
+auto ReplicaLoadTable::release(std::string const& name, std::uint64_t request_number) -> void {
+    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(request_number);
 }
 
-auto ReplicaLoadTable::first_output(std::string const& name, std::uint64_t ticket) -> void {
+auto ReplicaLoadTable::first_output(std::string const& name, std::uint64_t request_number) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
-    auto const placed = state.placed.find(ticket);
+    auto const placed = state.placed.find(request_number);
     if (placed == state.placed.end()) return;
     state.placed_unread -= std::exchange(placed->second.unread, 0);
 }
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -121,7 +121,7 @@
     mutable std::uint64_t orders_mine = 0;
     mutable std::uint64_t orders_known = 0;
 
-    auto take_away(std::uint64_t ticket) -> void;
+    auto take_away(std::uint64_t request_number) -> void;
     auto count_remote(RemoteLoad const& item, std::int64_t sign) -> void;
     auto sum_remote() -> void;
 };
@@ -192,9 +192,9 @@
         std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now,
         std::int64_t unread = 0) -> void;
     // The prompt has been read: the first output came.
-    auto first_output(std::string const& name, std::uint64_t ticket) -> void;
+    auto first_output(std::string const& name, std::uint64_t request_number) -> void;
     auto ended(std::string const& name, bool failed, Microseconds now) -> void;
-    auto release(std::string const& name, std::uint64_t ticket) -> void;
+    auto release(std::string const& name, std::uint64_t request_number) -> void;
 
     auto running(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t;
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -23,9 +23,10 @@
     return std::clamp<std::int64_t>(static_cast<std::int64_t>(std::ceil(seconds)), 1, 30);
 }
 
-auto Scheduler::shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void {
+auto Scheduler::shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason)
+    -> void {
     ++shed_counts[static_cast<std::size_t>(reason)];
-    decisions.sheds.push_back({ticket, reason, retry_after(buffer)});
+    decisions.sheds.push_back({request_number, reason, retry_after(buffer)});
 }
 
 auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& ticket) const -> Microseconds {
@@ -64,9 +65,9 @@
     queues[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
 
-auto Scheduler::withdraw(std::uint64_t ticket) -> bool {
+auto Scheduler::withdraw(std::uint64_t request_number) -> bool {
     for (auto& [model, buffer] : queues)
-        if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.ticket.number == ticket; }) > 0)
+        if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.ticket.number == request_number; }) > 0)
             return true;
     return false;
 }
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -30,7 +30,7 @@
     std::map<std::uint64_t, Microseconds> saving;  // lately sent there, not told of yet
 };
 struct Placement {
-    std::uint64_t ticket = 0;
+    std::uint64_t request_number = 0;
     std::string replica;
     std::string address;
     std::string weights;
@@ -57,7 +57,7 @@
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
 struct Shed {
-    std::uint64_t ticket = 0;
+    std::uint64_t request_number = 0;
     ShedReason reason = ShedReason::deadline;
     std::int64_t retry_after = 1;  // whole seconds
 };
@@ -125,7 +125,7 @@
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
-    auto withdraw(std::uint64_t ticket) -> bool;
+    auto withdraw(std::uint64_t request_number) -> bool;
     auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
     auto finished(
         std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now,
@@ -136,7 +136,7 @@
     auto waiting_count() const -> std::size_t;
     auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
     auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
-    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
+    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason) -> void;
 
    private:
     auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -128,7 +128,7 @@
     CHECK(enqueue(scheduler, low, 0).sheds.empty());
     auto const outranked = enqueue(scheduler, high, 0).sheds;
     REQUIRE(outranked.size() == 1);
-    CHECK(outranked[0].ticket == 1);
+    CHECK(outranked[0].request_number == 1);
     CHECK(outranked[0].retry_after >= 1);
     low.number = 4;
     CHECK(enqueue(scheduler, low, 0).sheds.at(0).reason == ShedReason::buffer_full);
--- a/tests/hollow/slopes.cpp
+++ b/tests/hollow/slopes.cpp
@@ -70,7 +70,7 @@
         }
         placing.push_back(static_cast<double>(spent));
         measured.withdraw(request.number);
-        for (auto const& item : decisions.placements) under_way.emplace_back(item.replica, item.ticket);
+        for (auto const& item : decisions.placements) under_way.emplace_back(item.replica, item.request_number);
         placed += static_cast<int>(decisions.placements.size());
         if (under_way.size() > static_cast<std::size_t>(shape.requests / 2.0)) {
             measured.load_table.release(under_way.front().first, under_way.front().second);
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -105,23 +105,23 @@
 auto Fleet::decide(std::size_t index, Decisions const& decisions) -> void {
     auto& plane = planes[index];
     for (auto const& shed : decisions.sheds) {
-        auto const found = plane.courses.find(shed.ticket);
+        auto const found = plane.courses.find(shed.request_number);
         if (found == plane.courses.end()) continue;
         found->second.entered = false;
         drive(
-            index, shed.ticket,
+            index, shed.request_number,
             found->second.lifecycle.given_up(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
     }
     for (auto const& placement : decisions.placements) {  // between the match and the checks a node may be frozen
-        if (auto const found = plane.courses.find(placement.ticket); found != plane.courses.end())
+        if (auto const found = plane.courses.find(placement.request_number); found != plane.courses.end())
             found->second.entered = false;
         later(static_cast<Microseconds>(random.below(500)), [this, index, placement, life = world.nodes[index]->life] {
             world.on_node(index, life, [this, index, placement] {
-                auto const found = planes[index].courses.find(placement.ticket);
+                auto const found = planes[index].courses.find(placement.request_number);
                 if (found == planes[index].courses.end())
-                    return planes[index].scheduler.load_table.release(placement.replica, placement.ticket);
+                    return planes[index].scheduler.load_table.release(placement.replica, placement.request_number);
                 drive(
-                    index, placement.ticket,
+                    index, placement.request_number,
                     found->second.lifecycle.placed(placement, facts(index, placement.replica)));
             });
         });
