--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -73,7 +73,7 @@
 }
 
 // What granting has to know of a request that its route and its tenant let in.
-auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& inference) -> void {
+auto fill_inference(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& inference) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
     inference.body.model = choose_service(route, hash_text(arrival.identity));
@@ -113,7 +113,7 @@
         if (result.tenant == nullptr) return refuse(401, "unknown key");
     }
     if (arrival.identity.empty()) return refuse(400, "a request needs its identity");
-    fill_ticket(arrival, result, inference);
+    fill_inference(arrival, result, inference);
     verdict.kind = Verdict::Kind::enqueue;
     verdict.status = 0;
     return result;
