--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -140,9 +140,9 @@
 }
 
 // Rules that moved while a request waits may only make it stricter.
-auto RequestLifecycle::take_rules(InferenceRequest const& judged_ticket) -> void {
-    inference.body.run_once = inference.body.run_once || judged_ticket.body.run_once;
-    inference.tries = std::min(inference.tries, judged_ticket.tries);
+auto RequestLifecycle::take_rules(InferenceRequest const& judged_inference) -> void {
+    inference.body.run_once = inference.body.run_once || judged_inference.body.run_once;
+    inference.tries = std::min(inference.tries, judged_inference.tries);
 }
 
 auto RequestLifecycle::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -82,7 +82,7 @@
     auto last_checks(LifecycleFacts const& facts) -> LifecycleStep;
     auto enter_back() -> LifecycleStep;
     auto request_facts() const -> RetryRequest;
-    auto take_rules(InferenceRequest const& judged_ticket) -> void;
+    auto take_rules(InferenceRequest const& judged_inference) -> void;
     auto give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep;
 };
 
