--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -6,7 +6,7 @@
 namespace dockrock {
 
 namespace {
-constexpr Microseconds awake_after_ticket = 10 * one_second;
+constexpr Microseconds awake_after_request = 10 * one_second;
 constexpr Microseconds unheard_limit = 5 * one_second;
 }  // namespace
 
@@ -25,7 +25,7 @@
 
 // A ticket came to a resting node: it is served at once, on fresh news.
 auto Node::wake() -> void {
-    awake_until = clock_now() + awake_after_ticket;
+    awake_until = clock_now() + awake_after_request;
     resting_now = false;
     in_control([this] {
         control.resting = false;
