--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -81,7 +81,7 @@
 // The leader's disk first, then the followers': whatever an follower holds,
 // the leader holds too, so that a restart never gives one key to two tickets.
 auto Partition::replicate_claims(Context& context) -> void {
-    if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
+    if (claims.replication_active || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.replicating_claims.clear();
     for (auto const& key : claims.to_replicate)
         if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
@@ -94,7 +94,7 @@
         for (auto const& key : claims.replicating_claims)
             if (auto const found = claims.held.find(key); found != claims.held.end())
                 claims.replication_batch += write_claim(key, found->second, context.now);
-    claims.flying = true;
+    claims.replication_active = true;
     claims.replicated_at_followers.clear();
     ++claims.replication_number;
     send_claims(context);
@@ -128,7 +128,8 @@
 auto Partition::on(Context& context, std::string const& from, ClaimReplicated const& message) -> void {
     if (!is_leader(context.self) || message.term != votes.decided.term) return;
     if (!votes.decided.has_follower(from)) return;
-    if (!claims.flying || message.life != claims.life || message.number != claims.replication_number) return;
+    if (!claims.replication_active || message.life != claims.life || message.number != claims.replication_number)
+        return;
     if (votes.sealed >= votes.decided.term) return;
     progress[from].heard = context.now;
     claims.replicated_at_followers.insert(from);
@@ -137,7 +138,7 @@
 
 auto Partition::claims_replicated(Context& context) -> void {
     if (claims.replicated_at_followers.size() < votes.decided.followers.size()) return;
-    claims.flying = false;
+    claims.replication_active = false;
     claims.replicating_claims.clear();
     if (claims.replicating_whole) claims.whole_needed = false;
     settle_claims(context);
@@ -159,7 +160,7 @@
     std::erase_if(claims.waiters, [&](auto const& waiter) { return context.now - waiter.since > claim_wait_limit; });
     if (!is_leader(context.self) || !healthy || disk_late(context.now)) return;
     if (!has_lease(context.self, context.now)) return;
-    if (claims.flying && context.now - claims.replication_sent_at > times.resend_interval &&
+    if (claims.replication_active && context.now - claims.replication_sent_at > times.resend_interval &&
         votes.sealed < votes.decided.term)
         send_claims(context);
     push_claims(context);
@@ -168,7 +169,7 @@
 // A new record: the group may be new, so its followers are given all there is.
 auto Partition::claims_under_new_record(Context& context) -> void {
     claims.newest_replication = {0, 0};
-    claims.flying = false;
+    claims.replication_active = false;
     if (!is_leader(context.self)) return claims.stand_back();
     claims.whole_needed = true;
     for (auto const& key : claims.replicating_claims) claims.to_replicate.insert(key);
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -72,7 +72,7 @@
     waiters.clear();
     to_replicate.clear();
     replicating_claims.clear();
-    flying = false;
+    replication_active = false;
     whole_needed = true;
 }
 
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -39,7 +39,7 @@
     std::set<std::string> to_replicate;             // synced here, not yet flown
     std::set<std::string> replicating_claims;       // in the flight under way
     std::set<std::string> replicated_at_followers;  // followers that hold it
-    bool flying = false;
+    bool replication_active = false;
     bool replicating_whole = false;
     bool whole_needed = true;  // an follower may lack some
     std::uint64_t replication_number = 0;
