--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -35,11 +35,12 @@
     // The leader's own copy is synced first: a leader that restarts can then
     // never give one sequence to two changes (design 5.4).
     in_flight = true;
-    flying = copy;
+    replicating = copy;
     replicating_change.reset();
     if (last_change && committed && last_change->base == committed->sequence && last_change->sequence == copy.sequence)
         replicating_change = last_change;
-    else if (committed && committed->sequence < copy.sequence) replicating_change = change_between(*committed, flying);
+    else if (committed && committed->sequence < copy.sequence)
+        replicating_change = change_between(*committed, replicating);
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
     replication_sent_at = context.now;
     replication_sent = false;
@@ -48,24 +49,24 @@
 
 auto Partition::send_replication(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
-        if (follower.has >= flying.sequence) continue;
+        if (follower.has >= replicating.sequence) continue;
         if (replicating_change && !follower.lacks_base)
             context.sends.push_back({identity, AppendChange{index, votes.decided, *replicating_change}});
-        else context.sends.push_back({identity, Append{index, votes.decided, flying}});
+        else context.sends.push_back({identity, Append{index, votes.decided, replicating}});
     }
 }
 
 auto Partition::settle(Context& context) -> void {
     if (!in_flight || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
-    if (synced < flying.sequence) return;
+    if (synced < replicating.sequence) return;
     if (!replication_sent) {
         replication_sent = true;
         replication_sent_at = context.now;
         send_replication(context);
     }
-    if (!all_have(flying.sequence)) return;
+    if (!all_have(replicating.sequence)) return;
     if (!has_lease(context.self, context.now)) return;  // nothing is told without one; a grant that comes settles it
-    committed = flying;
+    committed = replicating;
     in_flight = false;
     std::erase_if(waiters, [&](auto const& waiter) {
         if (waiter.sequence > committed->sequence) return false;
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -230,9 +230,9 @@
     auto& follower = progress[from];
     follower.heard = context.now;
     follower.has = std::max(follower.has, message.sequence);
-    if (message.lacks_base && in_flight && replication_sent && follower.has < flying.sequence) {
+    if (message.lacks_base && in_flight && replication_sent && follower.has < replicating.sequence) {
         follower.lacks_base = true;
-        context.sends.push_back({from, Append{index, votes.decided, flying}});
+        context.sends.push_back({from, Append{index, votes.decided, replicating}});
     }
     settle(context);
 }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -87,7 +87,7 @@
     Microseconds leader_since = 0;
     bool in_flight = false;
     bool replication_sent = false;
-    Copy flying;
+    Copy replicating;
     std::optional<CopyChange> replicating_change;  // on top of what was committed before; else the snapshot is sent
     Microseconds replication_sent_at = 0;
     struct FollowerProgress {
