--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -16,7 +16,7 @@
 auto put_link_header(LinkHeader const& note, std::string_view frame) -> std::string {
     std::string bytes;
     bytes.reserve(note_size + frame.size());
-    for (auto const number : {note.life, note.number, note.heard_instance, note.heard_number})
+    for (auto const number : {note.instance, note.number, note.heard_instance, note.heard_number})
         put_number(bytes, number);
     put_number(bytes, checksum_of(bytes));
     return bytes.append(frame);
@@ -27,7 +27,7 @@
     auto head = bytes.substr(0, note_size);
     auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
     auto note = LinkHeader();
-    for (auto* number : {&note.life, &note.number, &note.heard_instance, &note.heard_number})
+    for (auto* number : {&note.instance, &note.number, &note.heard_instance, &note.heard_number})
         *number = take_number(head).value_or(0);
     if (take_number(head) != checksum) return std::nullopt;
     bytes.remove_prefix(note_size);
@@ -93,16 +93,17 @@
     renewals = 0;
 }
 
-auto PeerLink::is_former(std::uint64_t life) const -> bool {
-    return life != 0 && std::find(former_instances.begin(), former_instances.end(), life) != former_instances.end();
+auto PeerLink::is_former(std::uint64_t instance) const -> bool {
+    return instance != 0 &&
+        std::find(former_instances.begin(), former_instances.end(), instance) != former_instances.end();
 }
 
 // What is left of a former life may still come after the first words of the next.
-auto PeerLink::take_instance(std::uint64_t life) -> void {
-    if (life == heard_instance) return;
+auto PeerLink::take_instance(std::uint64_t instance) -> void {
+    if (instance == heard_instance) return;
     hangs = other_instance = heard_instance != 0 && last_number != 0;
     former_instances[next_former++ % former_instances.size()] = heard_instance;
-    heard_instance = life;
+    heard_instance = instance;
     heard_number = 0;
 }
 
@@ -115,8 +116,8 @@
 // present one is silent is the one that runs.
 auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.instance_silence;
-    if (note.life != heard_instance && is_former(note.life) && !silent) return;
-    take_instance(note.life);
+    if (note.instance != heard_instance && is_former(note.instance) && !silent) return;
+    take_instance(note.instance);
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
     auto const least = waiting != 0 ? waiting : last_number;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -14,7 +14,7 @@
 // Goes before each frame: who sends in this life, the frame's number there, and
 // the last frame that was heard from its receiver.
 struct LinkHeader {
-    std::uint64_t life = 0;
+    std::uint64_t instance = 0;
     std::uint64_t number = 0;
     std::uint64_t heard_instance = 0;
     std::uint64_t heard_number = 0;
@@ -74,11 +74,11 @@
     auto overdue(Microseconds now) const -> bool;
 
    private:
-    auto is_former(std::uint64_t life) const -> bool;
+    auto is_former(std::uint64_t instance) const -> bool;
     auto missed(Microseconds now) -> void;
     auto measure() -> void;
     auto arrived(std::uint64_t number) -> void;
-    auto take_instance(std::uint64_t life) -> void;
+    auto take_instance(std::uint64_t instance) -> void;
 };
 
 }  // namespace dockrock
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -49,7 +49,7 @@
 auto Transport::begin_reading(std::string const& fleet_name, Heard heard) -> std::string {
     fleet = fleet_name;
     auto device = std::random_device();
-    life = ((static_cast<std::uint64_t>(device()) << 32U) ^ device()) | 1U;
+    instance = ((static_cast<std::uint64_t>(device()) << 32U) ^ device()) | 1U;
     if (auto const failure = nng_aio_alloc(&receipt, nullptr, nullptr); failure != 0) return nng_strerror(failure);
     closer.start();
     reader = std::thread([this, heard = std::move(heard)] { read_frames(heard); });
@@ -100,7 +100,7 @@
         }
     }
     peer.used_at = now;
-    auto const noted = put_link_header({life, last_number + 1, link.heard_instance, link.heard_number}, frame);
+    auto const noted = put_link_header({instance, last_number + 1, link.heard_instance, link.heard_number}, frame);
     if (nng_send(peer.socket, const_cast<char*>(noted.data()), noted.size(), NNG_FLAG_NONBLOCK) == 0) {
         link.sent(++last_number, noted.size(), now, peer.connections->count > 0);
         ++sent;
@@ -138,7 +138,7 @@
 
 auto Transport::mark_heard(std::string const& address, LinkHeader const& note) -> void {
     auto const guard = std::lock_guard(lock);
-    links[address].heard(note, life, clock_now());
+    links[address].heard(note, instance, clock_now());
     auto const found = peers.find(address);
     if (found != peers.end()) found->second.heard = true;
 }
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -54,7 +54,7 @@
     };
     std::map<std::string, Peer> peers;
     std::map<std::string, PeerLink> links;  // by address, also of those that are only heard
-    std::uint64_t life = 0;                 // of this process; drawn at the start
+    std::uint64_t instance = 0;             // of this process; drawn at the start
     std::uint64_t last_number = 0;          // of all frames of this life
     std::thread reader;
     std::atomic<bool> stopping{false};
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -12,9 +12,9 @@
 constexpr auto their_life = std::uint64_t{9};
 constexpr auto patience = LinkTimes().patience;
 
-auto note(std::uint64_t number, std::uint64_t heard, std::uint64_t life = their_life, std::uint64_t of = own_life)
+auto note(std::uint64_t number, std::uint64_t heard, std::uint64_t instance = their_life, std::uint64_t of = own_life)
     -> LinkHeader {
-    return {life, number, of, heard};
+    return {instance, number, of, heard};
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
     auto const taken = take_link_header(bytes);
     REQUIRE(taken);
     CHECK(bytes == "frame");
-    CHECK(taken->life == 1);
+    CHECK(taken->instance == 1);
     CHECK(taken->number == 2);
     CHECK(taken->heard_instance == 3);
     CHECK(taken->heard_number == ~std::uint64_t{0});
