--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -8,7 +8,7 @@
 auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
     if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_unread;
-    for (auto const& item : state.told)
+    for (auto const& item : state.remote)
         if (now - item.at <= options.digest_lost) sum += item.unread;
     return sum;
 }
@@ -24,7 +24,7 @@
         sum.ended += state.summed.ended;
         sum.failed += state.summed.failed;
     }
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         if (now - item.at > options.digest_lost) continue;
         sum.ended += item.ended;
         sum.failed += item.failed;
--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -25,8 +25,8 @@
 
 auto ReplicaState::sum_remote() -> void {
     remote_slots = remote_memory = remote_unread = remote_unreported = 0;
-    remote_oldest = told.empty() ? 0 : told.front().at;
-    for (auto const& item : told) {
+    remote_oldest = remote.empty() ? 0 : remote.front().at;
+    for (auto const& item : remote) {
         count_remote(item, 1);
         remote_oldest = std::min(remote_oldest, item.at);
     }
@@ -37,12 +37,12 @@
 // Each node tells of a replica once; its order for the last places stays.
 auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, ReplicaLoad const& item)
     -> void {
-    auto found =
-        std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
-    if (found == state.told.end()) {
-        if (state.told.empty()) state.remote_oldest = digest.at;
-        state.told.push_back({digest.node, hash_text(node, state.seed)});
-        found = state.told.end() - 1;
+    auto found = std::find_if(
+        state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == digest.node; });
+    if (found == state.remote.end()) {
+        if (state.remote.empty()) state.remote_oldest = digest.at;
+        state.remote.push_back({digest.node, hash_text(node, state.seed)});
+        found = state.remote.end() - 1;
     }
     state.count_remote(*found, -1);
     found->at = digest.at;
@@ -59,11 +59,11 @@
 
 auto untell(ReplicaState& state, std::uint64_t node) -> void {
     auto const found =
-        std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == node; });
-    if (found == state.told.end()) return;
+        std::find_if(state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == node; });
+    if (found == state.remote.end()) return;
     state.count_remote(*found, -1);
-    *found = state.told.back();
-    state.told.pop_back();
+    *found = state.remote.back();
+    state.remote.pop_back();
 }
 
 }  // namespace
@@ -132,7 +132,7 @@
 auto ReplicaLoadTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_slots + (relayed && !summed_lost(now) ? state.summed.slots : 0);
     if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_slots;
-    for (auto const& item : state.told)
+    for (auto const& item : state.remote)
         if (now - item.at <= options.digest_lost) sum += item.slots;
     return sum;
 }
@@ -142,7 +142,7 @@
 auto ReplicaLoadTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = std::int64_t{0};
     auto slice = std::int64_t{-1};
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         auto const age = now - item.at;
         if (age > options.digest_lost) continue;
         if (age > options.digest_old) {
@@ -168,7 +168,7 @@
     }
     if (now - state.remote_oldest <= options.digest_lost)
         return std::min(free - state.remote_memory, reported - state.remote_unreported);
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         if (now - item.at > options.digest_lost) continue;
         free -= item.memory;
         if (item.at > state.reported_at) reported -= item.unreported;
@@ -199,7 +199,7 @@
     }
     // As if nobody had anything there; then those who have.
     rank = own == 0 ? state.orders_below : own > 0 ? others_active : 0;
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
         auto const before = std::pair(item.slots, item.order) < std::pair(own, mine);
         rank += static_cast<std::int64_t>(before) - static_cast<std::int64_t>(counted);
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -108,12 +108,12 @@
         std::int64_t ended = 0;
         std::int64_t failed = 0;
     };
-    std::vector<RemoteLoad> told;
-    std::int64_t remote_slots = 0;  // sums over `told`
+    std::vector<RemoteLoad> remote;
+    std::int64_t remote_slots = 0;  // sums over `remote`
     std::int64_t remote_memory = 0;
     std::int64_t remote_unread = 0;
     std::int64_t remote_unreported = 0;  // of those told since the report was asked for
-    Microseconds remote_oldest = 0;      // none of `told` is older; brought up now and then
+    Microseconds remote_oldest = 0;      // none of `remote` is older; brought up now and then
     std::uint64_t seed = 0;              // hash of its name
     Load summed;                         // what a relay says of all others together (design 9.8)
     // Active nodes whose order is below `orders_mine`; counted anew where the set of them changed.
