--- a/source/control/cache_feed.cpp
+++ b/source/control/cache_feed.cpp
@@ -22,7 +22,7 @@
     std::string text;
     text.reserve(changes.size() * (part_letters + 1));
     for (auto const& change : changes) {
-        text.push_back(static_cast<char>((change.kept ? 'A' : 'a') + static_cast<char>(change.weights)));
+        text.push_back(static_cast<char>((change.cached ? 'A' : 'a') + static_cast<char>(change.weights)));
         for (auto shift = 60; shift >= 0; shift -= 4) text.push_back("0123456789abcdef"[(change.part >> shift) & 15U]);
     }
     return text;
@@ -35,9 +35,9 @@
     for (; !text.empty(); text.remove_prefix(part_letters + 1)) {
         CacheChange change;
         auto const letter = text.front();
-        change.kept = letter >= 'A' && letter <= 'Z';
-        if (!change.kept && (letter < 'a' || letter > 'z')) return std::nullopt;
-        change.weights = static_cast<std::size_t>(letter - (change.kept ? 'A' : 'a'));
+        change.cached = letter >= 'A' && letter <= 'Z';
+        if (!change.cached && (letter < 'a' || letter > 'z')) return std::nullopt;
+        change.weights = static_cast<std::size_t>(letter - (change.cached ? 'A' : 'a'));
         auto const* const end = text.data() + part_letters + 1;
         if (std::from_chars(text.data() + 1, end, change.part, 16).ptr != end) return std::nullopt;
         changes.push_back(change);
--- a/source/control/cache_feed.hpp
+++ b/source/control/cache_feed.hpp
@@ -18,7 +18,7 @@
 struct CacheChange {
     std::uint64_t part = 0;   // hash of the wall and the part
     std::size_t weights = 0;  // index into the batch's names of weights
-    bool kept = false;
+    bool cached = false;
     auto operator==(CacheChange const&) const -> bool = default;
 };
 inline constexpr auto weights_in_batch = std::size_t{26};
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -30,7 +30,7 @@
             place = batch.weights.insert(place, salt->second);
         }
         auto const weights = static_cast<std::size_t>(place - batch.weights.begin());
-        changes.push_back({part_hash(salt->first, event.part), weights, event.kept});
+        changes.push_back({part_hash(salt->first, event.part), weights, event.cached});
     }
     batch.changes = write_changes(changes);
     return batch;
@@ -106,8 +106,8 @@
         ++counters.part_events;
         if (change.weights >= marks.size()) continue;
         auto const mark = marks[change.weights];
-        if (!batch.store) load_table.take_part(batch.source, change.part, mark, change.kept);
-        else if (change.kept) found->second.parts.insert(change.part ^ mark);
+        if (!batch.store) load_table.take_part(batch.source, change.part, mark, change.cached);
+        else if (change.cached) found->second.parts.insert(change.part ^ mark);
         else found->second.parts.erase(change.part ^ mark);
     }
 }
--- a/source/process/wire_protocol.hpp
+++ b/source/process/wire_protocol.hpp
@@ -62,7 +62,7 @@
 // What a replica or store tells of kept parts, later than it happened.
 struct CacheEvent {
     std::uint64_t number = 0;
-    bool kept = false;  // or given up, wholly or in part
+    bool cached = false;  // or given up, wholly or in part
     std::string salt;
     std::string part;
     std::int64_t tokens = 0;  // kept now
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -70,20 +70,20 @@
     for (auto const* candidate : found) {
         auto const& state = *candidate;
         auto const running = load_table.running(state, now) + load_table.reserve(state, now);
-        auto const kept = load_table.cached_tokens(state, inference);
+        auto const cached = load_table.cached_tokens(state, inference);
         auto const hash = hash_text(state.entry.name, seed);
         auto better = best == nullptr;
         if (!better) {
             auto const left = steps > 0 ? running * steps / state.entry.capacity : running * best->entry.capacity;
             auto const right =
                 steps > 0 ? best_running * steps / best->entry.capacity : best_running * state.entry.capacity;
-            better =
-                left < right || (left == right && (kept > best_cached || (kept == best_cached && hash < best_hash)));
+            better = left < right ||
+                (left == right && (cached > best_cached || (cached == best_cached && hash < best_hash)));
         }
         if (!better) continue;
         best = &state;
         best_running = running;
-        best_cached = kept;
+        best_cached = cached;
         best_hash = hash;
     }
     return best;
@@ -132,7 +132,7 @@
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
-        view.kept = load_table.cached_tokens(*state, inference);
+        view.cached = load_table.cached_tokens(*state, inference);
         auto const& runs = runs_for(state->weights_hash);
         view.outstanding = load_table.unread(*state, now);
         view.best_cached = runs.replicas;
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -23,7 +23,7 @@
 }
 
 auto Scheduler::plan_fetch(
-    ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now) const
+    ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now) const
     -> FetchPlan {
     FetchPlan best;
     auto best_gain = 0.0;  // seconds saved over recomputing
@@ -39,21 +39,21 @@
         auto const& state = *peer;
         if (peer == &target || state.unreachable || !state.report) continue;
         if (state.report->weights != target.report->weights) continue;
-        weigh(state.entry.address, load_table.cached_tokens(state, inference) - kept);
+        weigh(state.entry.address, load_table.cached_tokens(state, inference) - cached);
     }
-    if (best.source.empty() && !store_address.empty()) weigh(store_address, inference.prefix_tokens - kept);
+    if (best.source.empty() && !store_address.empty()) weigh(store_address, inference.prefix_tokens - cached);
     return best;
 }
 
 // Single parts: from whichever peer or store keeps the longest run beyond what
 // the target keeps, the nearer first; what no store keeps yet is sent to one.
 auto Scheduler::plan_parts(
-    ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now) -> FetchPlan {
+    ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now) -> FetchPlan {
     FetchPlan best;
     auto best_near = false;
     auto const weigh = [&](std::string const& source, std::string const& area, std::int64_t tokens) {
         auto const near = area == target.entry.area;
-        if (tokens <= kept || tokens < best.tokens || (tokens == best.tokens && (best_near || !near))) return;
+        if (tokens <= cached || tokens < best.tokens || (tokens == best.tokens && (best_near || !near))) return;
         best.source = source;
         best.tokens = tokens;
         best_near = near;
@@ -82,7 +82,7 @@
         if (store.saving.emplace(inference.chain[shared - 1] ^ target.weights_hash, now).second)
             best.save_at = store.address;
     }
-    best.tokens = std::max<std::int64_t>(0, best.tokens - kept);
+    best.tokens = std::max<std::int64_t>(0, best.tokens - cached);
     return best;
 }
 
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -12,7 +12,7 @@
         auto& state = replicas[entry.name];
         if (!state.entry.address.empty() && state.entry.address != entry.address) {
             state.report.reset();  // another process under this name: asked before use
-            state.kept.clear();
+            state.cached.clear();
             state.cache_unknown = true;
         }
         if (state.seed == 0) tell_of(entry.name, state);
@@ -35,20 +35,20 @@
     auto const restarted = !state.report || state.report->incarnation != report.incarnation;
     auto const other_weights = state.report && state.report->weights != report.weights;
     if (restarted || other_weights) {
-        state.kept.clear();
+        state.cached.clear();
         state.cache_unknown = false;
         state.next_event = restarted ? 0 : state.next_event;
     }
     if (report.first_event > state.next_event) {  // a gap: what we hold may be gone, so it does not count
-        state.kept.clear();
+        state.cached.clear();
     }
     for (auto const& event : report.events) {
         if (event.number < state.next_event) continue;
         auto chain = std::uint64_t{0};
         std::from_chars(event.chain.data(), event.chain.data() + event.chain.size(), chain);
-        if (event.kind == "kept") state.kept.insert(chain);
-        else if (event.kind == "dropped") state.kept.erase(chain);
-        else if (event.kind == "cleared") state.kept.clear();
+        if (event.kind == "kept") state.cached.insert(chain);
+        else if (event.kind == "dropped") state.cached.erase(chain);
+        else if (event.kind == "cleared") state.cached.clear();
     }
     state.next_event = std::max(state.next_event, report.next_event);
     state.cache_unknown = report.changing;
@@ -147,11 +147,11 @@
         found->second.outcomes.push_back({now, failed});
 }
 
-auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool kept)
+auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool cached)
     -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
-    if (kept) found->second.parts[part ^ weights_hash] = weights_hash;
+    if (cached) found->second.parts[part ^ weights_hash] = weights_hash;
     else found->second.parts.erase(part ^ weights_hash);
 }
 
@@ -174,7 +174,7 @@
     auto tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
         tokens += inference.body.prefix[index].tokens;
-        if (state.kept.contains(inference.chain[index])) best = tokens;
+        if (state.cached.contains(inference.chain[index])) best = tokens;
     }
     return best;
 }
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -88,7 +88,7 @@
     Microseconds reported_at = 0;  // when the report was asked for
     Microseconds unreachable_until = 0;
     bool unreachable = false;
-    std::set<std::uint64_t> kept;  // prefix chains, under the reported weights
+    std::set<std::uint64_t> cached;  // prefix chains, under the reported weights
     bool cache_unknown = true;
     std::unordered_map<std::uint64_t, std::uint64_t> parts;  // kept single parts, by part and weights -> weights
     std::uint64_t weights_hash = 0;                          // hash of the weights it holds now
@@ -177,10 +177,10 @@
     auto take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void;
     auto take_weights(std::string const& name, std::string const& weights, bool loading) -> void;
     // A replica's late word of one kept part; a gap or a new life forgets all that was told.
-    auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool kept) -> void {
-        take_part(name, part, hash_text(weights), kept);
+    auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool cached) -> void {
+        take_part(name, part, hash_text(weights), cached);
     }
-    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool kept) -> void;
+    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool cached) -> void;
     auto forget_parts(std::string const& name) -> void;
     auto report_failed(std::string const& name, Microseconds now) -> void;
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -149,10 +149,12 @@
         const -> ReplicaState const*;
     auto cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes;
     auto place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
-    auto plan_parts(ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now)
+    auto plan_parts(
+        ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now)
+        -> FetchPlan;
+    auto plan_fetch(
+        ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now) const
         -> FetchPlan;
-    auto plan_fetch(ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now)
-        const -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
     auto expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds;
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -48,7 +48,7 @@
     CHECK(work_before_first_token(view, rates) == Approx(12'500));
     view.best_cached = view.movable = 8'000;  // moved from a peer: a further copy
     CHECK(work_before_first_token(view, rates) == Approx(500 + 2'000 + 800 + 2'000));
-    view.kept = 8'000;
+    view.cached = 8'000;
     CHECK(work_before_first_token(view, rates) == Approx(2'500));
     view.queued = 2;  // waits for two to end
     CHECK(work_before_first_token(view, rates) == Approx(22'500));
--- a/tests/platform/calls_test.cpp
+++ b/tests/platform/calls_test.cpp
@@ -124,13 +124,13 @@
     CHECK(events->next == 120);
     CHECK_FALSE(events->gap);
     REQUIRE(events->events.size() == 2);
-    CHECK(events->events[0].kept);
+    CHECK(events->events[0].cached);
     CHECK(events->events[0].number == 119);
     CHECK(events->events[0].salt == "s1");
     CHECK(events->events[0].part == "aa01");
     CHECK(events->events[0].tokens == 800);
     CHECK(events->events[0].model == "model-a");
-    CHECK_FALSE(events->events[1].kept);
+    CHECK_FALSE(events->events[1].cached);
     CHECK(events->events[1].tokens == 128);
     cut_bodies_are_unreadable(events_body, calls::read_events);
     auto const odd = calls::read_events(
@@ -149,13 +149,13 @@
     CHECK(call.headers[0] == std::pair<std::string, std::string>("Wait-Ms", "1000"));
     CHECK(calls::events_call(0, 0).headers.empty());
 
-    auto const kept = calls::read_cache(kept_body);
-    REQUIRE(kept);
-    CHECK(kept->next == 120);
-    REQUIRE(kept->events.size() == 1);
-    CHECK(kept->events[0].kept);
-    CHECK(kept->events[0].part == "aa01");
-    CHECK(kept->events[0].tokens == 800);
+    auto const cached = calls::read_cache(kept_body);
+    REQUIRE(cached);
+    CHECK(cached->next == 120);
+    REQUIRE(cached->events.size() == 1);
+    CHECK(cached->events[0].cached);
+    CHECK(cached->events[0].part == "aa01");
+    CHECK(cached->events[0].tokens == 800);
     cut_bodies_are_unreadable(kept_body, calls::read_cache);
     CHECK(calls::cache_call().target == "/-/kv-list");
 }
