--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -54,7 +54,7 @@
     std::vector<CallDone> results;                            // for calls made at this node
     std::vector<std::pair<std::string, LoadDigest>> digests;  // from other admitting nodes
     std::vector<std::pair<std::string, LoadSum>> load_sums;   // from the relay
-    std::vector<CacheFeed::Taken> kept;                       // changes of kept prompts, in order
+    std::vector<CacheFeed::Taken> cache_batches;              // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
     std::vector<UpdateNote> notes;  // for the log
     bool news = false;              // something a snapshot is made of changed
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -49,7 +49,7 @@
     load_choice.heard(from, now);
     for (auto& taken : cache_feed.take(from, answer)) {
         if (settings.core) cache_feed.add(std::move(taken.batch), false);
-        else output.kept.push_back(std::move(taken));
+        else output.cache_batches.push_back(std::move(taken));
     }
 }
 
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -115,7 +115,7 @@
         for (auto const& [relay, sum] : output.load_sums)
             load_table.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
     }
-    if (!output.kept.empty()) take_feed(output.kept);
+    if (!output.cache_batches.empty()) take_feed(output.cache_batches);
     update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
