--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -128,7 +128,7 @@
     auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = news[static_cast<std::size_t>(answer->partition)];
-        if (output.news || next_is_held(item, answer->partition, now)) request_updates(now, output);
+        if (output.snapshot_changed || next_is_held(item, answer->partition, now)) request_updates(now, output);
     }
     return output;
 }
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -57,7 +57,7 @@
     std::vector<CacheFeed::Taken> cache_batches;              // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
     std::vector<UpdateNote> notes;  // for the log
-    bool news = false;              // something a snapshot is made of changed
+    bool snapshot_changed = false;  // something a snapshot is made of changed
 };
 
 struct Control {
--- a/source/control/control_live.cpp
+++ b/source/control/control_live.cpp
@@ -23,7 +23,7 @@
     if (digest == item.live_digest) return output;
     item.live = text;
     item.live_digest = digest;
-    output.news = true;
+    output.snapshot_changed = true;
     answer_waiting(now, partition, output);
     return output;
 }
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -35,7 +35,7 @@
                     output.sends.push_back({member.control_address, Decided{static_cast<int>(index), item.record}});
         }
         if (!changed) continue;
-        output.news = true;
+        output.snapshot_changed = true;
         answer_waiting(now, static_cast<int>(index), output);
     }
 }
@@ -154,7 +154,7 @@
     item.copy.document = std::move(*made);
     item.copy.outcomes.clear();
     learn_version_times(answer.partition, now);
-    output.news = true;
+    output.snapshot_changed = true;
 }
 
 auto Control::take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
@@ -169,7 +169,7 @@
         item.live = answer.live;
         item.live_digest = answer.live_digest;
         item.live_at = live_at;
-        output.news = true;
+        output.snapshot_changed = true;
     }
 }
 
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -22,7 +22,7 @@
 
 auto Control::take_version_ages(
     Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output) -> void {
-    if (version_history.take(told.named, now)) output.news = true;
+    if (version_history.take(told.named, now)) output.snapshot_changed = true;
     if (told.asks) output.sends.push_back({address, VersionAges{false, version_history.ages(now)}});
 }
 
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -121,7 +121,7 @@
         if (!note.late) transport.doubt(note.whom, now);
     loss_tolerance.look(control, now);
     auto const first_heard = form != nullptr && weights_guard.heard != WeightsGuard::heard_by(control);
-    if (output.news || first_heard) publish_snapshot();
+    if (output.snapshot_changed || first_heard) publish_snapshot();
     take_proof();
 }
 
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -84,7 +84,7 @@
             if (requests) node.load.table.take_digest(from, digest.number, digest.body, now);
         for (auto const& [from, sum] : output.load_sums)
             node.load.table.take_sum(from, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
-        if (output.news) {
+        if (output.snapshot_changed) {
             node.snapshot = make_snapshot(node.control, *node.snapshot);
             if (requests) node.load.table.take_list(node.snapshot->list);
         }
@@ -98,7 +98,7 @@
     for (auto& save : output.saves) node.unsynced.push_back(std::move(save));
     if (!node.unsynced.empty()) work_disk(node);
     for (auto& result : output.results) call_results[result.token] = std::move(result);
-    if (output.news && when_news) when_news(node);
+    if (output.snapshot_changed && when_news) when_news(node);
 }
 
 auto HollowFleet::send(HollowNode& node, std::string const& address, std::shared_ptr<std::string const> frame) -> void {
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -66,7 +66,7 @@
     REQUIRE(asker.held().ask_token != asker.asked.front().second.token);
     asker.answer(asker.asked.front().second, {1, 5}, 10 * one_millisecond, "new");
     CHECK(asker.held().copy.document == "new");
-    CHECK(asker.last.news);
+    CHECK(asker.last.snapshot_changed);
     CHECK(asker.held().proven_at == first_at - 10 * one_millisecond);
     CHECK(asker.control.update_counts.late == 1);
     auto const proven = asker.held().proven_at;
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -65,7 +65,7 @@
     for (auto const& [relay, sum] : given.load_sums)
         planes[index].scheduler.load_table.take_sum(
             relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, local(index));
-    if (given.news) publish(index);
+    if (given.snapshot_changed) publish(index);
 }
 
 auto Fleet::publish(std::size_t index) -> void {
