--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -46,7 +46,7 @@
             "name", json::string_view(partition_names[index].data(), partition_names[index].size()), "term",
             record.term, "leader", record.leader, "followers", write_json(record.followers), "voters",
             write_json(record.voters), "leads_here", node.control.leads(number, now), "sequence",
-            etag_of(node.control.news[index].copy.sequence), "proof_age_microseconds",
+            etag_of(node.control.views[index].copy.sequence), "proof_age_microseconds",
             node.control.proof_age(number, now), "disk_healthy", node.control.partitions[index].healthy));
     }
     auto const current = node.snapshot.load();
@@ -60,7 +60,7 @@
         "news_bytes_whole", node.control.update_bytes_whole, "identity", node.control.membership.self.identity, "ready",
         node.ready(now), "resting", node.resting_now.load(), "stopping", node.stopping.load(), "configuration_in_force",
         etag_of(current->rules->sequence), "replicas_listed", current->list.replicas.size(), "list_age_microseconds",
-        now - node.control.news[configuration_partition].live_at, "open_tickets", node.open_inferences.load(),
+        now - node.control.views[configuration_partition].live_at, "open_tickets", node.open_inferences.load(),
         "members", std::move(members), "peers", write_peers(node.transport, now), "partitions", std::move(partitions));
 }
 
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -127,7 +127,7 @@
     // without waiting for a tick; answers given at once are paced by the ticks.
     auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
-        auto const& item = news[static_cast<std::size_t>(answer->partition)];
+        auto const& item = views[static_cast<std::size_t>(answer->partition)];
         if (output.snapshot_changed || next_is_held(item, answer->partition, now)) request_updates(now, output);
     }
     return output;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -66,7 +66,7 @@
     Random random;
     Membership membership;
     std::array<Partition, partition_count> partitions;
-    std::array<PartitionView, partition_count> news;
+    std::array<PartitionView, partition_count> views;
     std::array<PartitionWatch, partition_count> watches;
     struct HeldRequest {
         std::string address;
@@ -138,7 +138,7 @@
         return partitions[static_cast<std::size_t>(partition)].has_lease(membership.self.identity, now);
     }
     auto proof_age(int partition, Microseconds now) const -> Microseconds {
-        return now - news[static_cast<std::size_t>(partition)].proven_at;
+        return now - views[static_cast<std::size_t>(partition)].proven_at;
     }
     auto knows_fleet() const -> bool;
     auto best_record(int partition) const -> Record const&;
--- a/source/control/control_calls.cpp
+++ b/source/control/control_calls.cpp
@@ -50,13 +50,13 @@
 
 // Of the document that this node holds; empty where it holds none.
 auto Control::held_etag(int partition) const -> std::string {
-    auto const& held = news[static_cast<std::size_t>(partition)].copy;
+    auto const& held = views[static_cast<std::size_t>(partition)].copy;
     return held.document.empty() ? std::string() : etag_of(held.sequence);
 }
 
 // The document of that version, if this node still holds it.
 auto Control::held_document(int partition, std::string const& etag) const -> std::string const* {
-    auto const& held = news[static_cast<std::size_t>(partition)];
+    auto const& held = views[static_cast<std::size_t>(partition)];
     if (etag_of(held.copy.sequence) == etag) return &held.copy.document;
     auto const found = std::find_if(
         held.past.begin(), held.past.end(), [&](auto const& earlier) { return etag_of(earlier.first) == etag; });
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -18,7 +18,7 @@
 // Heard by every node: it asks the leader of the record for news from now on.
 auto Control::on(Arrival const& arrival, Decided const& decided) -> void {
     if (!is_partition(decided.partition)) return;
-    auto& item = news[static_cast<std::size_t>(decided.partition)];
+    auto& item = views[static_cast<std::size_t>(decided.partition)];
     if (decided.record.term > item.record.term) {
         item.record = decided.record;
         retire_request(item, false);  // the old leader's answer is not waited for
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -51,15 +51,15 @@
 auto Control::knows_fleet() const -> bool {
     for (auto const& partition : partitions)
         if (partition.votes.decided.term > 0) return true;
-    for (auto const& item : news)
+    for (auto const& item : views)
         if (item.record.term > 0) return true;
     return false;
 }
 
 auto Control::best_record(int partition) const -> Record const& {
     auto const index = static_cast<std::size_t>(partition);
-    return news[index].record.term > partitions[index].votes.decided.term ? news[index].record
-                                                                          : partitions[index].votes.decided;
+    return views[index].record.term > partitions[index].votes.decided.term ? views[index].record
+                                                                           : partitions[index].votes.decided;
 }
 
 // Where the number of core nodes is not told: as many as still have a majority
--- a/source/control/control_live.cpp
+++ b/source/control/control_live.cpp
@@ -7,7 +7,7 @@
 auto Control::wants_list(Microseconds now) const -> bool {
     if (leads(configuration_partition, now)) return now - last_list_read >= times.list_interval;
     if (resting) return false;
-    return now - news[configuration_partition].live_at > times.list_fallback && now - last_list_read >= one_second / 2;
+    return now - views[configuration_partition].live_at > times.list_fallback && now - last_list_read >= one_second / 2;
 }
 
 // A list that was read whole, or the word of a partition's leader. What can't be read
@@ -16,7 +16,7 @@
     -> ControlOutput {
     ControlOutput output;
     if (partition == configuration_partition) last_list_read = now;
-    auto& item = news[static_cast<std::size_t>(partition)];
+    auto& item = views[static_cast<std::size_t>(partition)];
     if (asked_at <= item.live_at) return output;  // overtaken by a later reading
     item.live_at = asked_at;
     auto const digest = digest_of(text);
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -17,7 +17,7 @@
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = best_record(static_cast<int>(index));
         auto const& own = partitions[index].copy;
-        auto const& told = news[index].copy;
+        auto const& told = views[index].copy;
         auto const& newest = own.sequence > told.sequence ? own : told;
         auto const voters = record.leader.empty() ? std::vector<std::string>() : record.voters;
         held.push_back({record.term, voters, newest.sequence, newest.document});
--- a/source/control/control_updates.cpp
+++ b/source/control/control_updates.cpp
@@ -15,7 +15,7 @@
 auto Control::publish(Microseconds now, ControlOutput& output) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto& partition = partitions[index];
-        auto& item = news[index];
+        auto& item = views[index];
         if (partition.votes.decided.term > item.record.term) item.record = partition.votes.decided;
         else if (settings.core && item.record.term > partition.votes.decided.term)
             learn_record(now, partition, item.record, output);
@@ -70,7 +70,7 @@
 auto Control::answer_update_request(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait)
     -> void {
     auto const& ask = waiting.ask;
-    auto& item = news[static_cast<std::size_t>(ask.partition)];
+    auto& item = views[static_cast<std::size_t>(ask.partition)];
     auto const live_age = waiting.since - item.live_at;
     auto const list_newer = item.live_digest != ask.live_digest && live_age < ask.live_age;
     auto const newer = item.copy.sequence > ask.have || list_newer || item.record.term > ask.term;
@@ -100,11 +100,11 @@
 // answers them with what it hears from the leader next (design 8.1).
 auto Control::relays_updates(int partition, Microseconds now) const -> bool {
     if (!settings.core || !load_choice.relayed) return false;
-    return now - news[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
+    return now - views[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
 }
 
 auto Control::take_update(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
-    auto& item = news[static_cast<std::size_t>(answer.partition)];
+    auto& item = views[static_cast<std::size_t>(answer.partition)];
     if (answer.token != item.ask_token || item.ask_token == 0) return take_late(now, answer, output);
     retire_request(item, true);
     item.unanswered = 0;
@@ -128,7 +128,7 @@
 
 // The question was asked anew since, or of two nodes at once.
 auto Control::take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void {
-    auto& item = news[static_cast<std::size_t>(answer.partition)];
+    auto& item = views[static_cast<std::size_t>(answer.partition)];
     auto* asked = find_past_request(item, answer.token);
     if (asked == nullptr) {
         ++update_counts.unknown;
@@ -213,7 +213,7 @@
 
 auto Control::request_updates(Microseconds now, ControlOutput& output) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
-        auto& item = news[index];
+        auto& item = views[index];
         if (leads(static_cast<int>(index), now)) continue;
         if (resting && index != configuration_partition && index != resting_partition) continue;
         if (resting && now - item.asked_at < times.resting_interval) continue;
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -5,7 +5,7 @@
 
 auto Control::learn_version_times(int partition, Microseconds now) -> void {
     if (partition == configuration_partition || partition == resting_partition) return;
-    version_history.learn(news[static_cast<std::size_t>(partition)].copy.document, now);
+    version_history.learn(views[static_cast<std::size_t>(partition)].copy.document, now);
 }
 
 // A core node asks another one and any node at all: where the whole core restarted, edges still know.
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -60,7 +60,7 @@
 auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form)
     -> std::shared_ptr<Snapshot> {
     auto fresh = std::make_shared<Snapshot>();
-    auto const& configuration = control.news[configuration_partition];
+    auto const& configuration = control.views[configuration_partition];
     fresh->document_bytes = configuration.copy.document.size();
     fresh->rules = old.rules && old.rules->sequence == configuration.copy.sequence ? old.rules
         : form == nullptr ? compile_rules(configuration.copy.sequence, configuration.copy.document)
@@ -72,15 +72,15 @@
     for (auto const& model : fresh->rules->checked.configuration.models)
         fresh->target_weights[model.name] = model.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        for (auto const& item : read_object(control.news[partition].copy.document)) {
+        for (auto const& item : read_object(control.views[partition].copy.document)) {
             if (item.value().is_string()) fresh->target_weights[item.key()] = std::string(item.value().as_string());
             if (item.value().is_int64()) fresh->target_versions[item.key()] = item.value().as_int64();
         }
     fresh->named = named_here(control.version_history, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        take_words(*fresh, control.news[partition].live);
-    auto const resting = read_object(control.news[resting_partition].copy.document);
+        take_words(*fresh, control.views[partition].live);
+    auto const resting = read_object(control.views[resting_partition].copy.document);
     if (auto const* names = resting.if_contains("resting"); names != nullptr && names->is_array())
         for (auto const& name : names->as_array())
             if (name.is_string()) fresh->resting.insert(std::string(name.as_string()));
--- a/source/control/weights_controller.cpp
+++ b/source/control/weights_controller.cpp
@@ -61,7 +61,7 @@
         return;
     }
     if (snapshot.list.replicas.empty()) return;  // not known yet: a former leader's words stay as they are
-    auto const& news = control.news[static_cast<std::size_t>(partition)];
+    auto const& news = control.views[static_cast<std::size_t>(partition)];
     auto const sure = control.proof_age(partition, now) <= one_second &&
         control.proof_age(configuration_partition, now) <= one_second;
     std::set<std::string> models;
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -60,7 +60,7 @@
     static auto heard_by(Control const& control) -> std::bitset<partition_count> {
         std::bitset<partition_count> partitions;
         for (auto index = std::size_t{1}; index <= service_partitions; ++index)
-            partitions[index] = control.news[index].proven_at > PartitionView().proven_at;
+            partitions[index] = control.views[index].proven_at > PartitionView().proven_at;
         return partitions;
     }
     // True where it begins, to be told once.
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -126,7 +126,7 @@
 }
 
 // After what it proves: whoever reads the proof and then the snapshot holds at least what is proven.
-auto Node::take_proof() -> void { proven_at = control.news[configuration_partition].proven_at; }
+auto Node::take_proof() -> void { proven_at = control.views[configuration_partition].proven_at; }
 
 auto Node::publish_snapshot() -> void {
     auto const old = snapshot.load();
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -62,7 +62,7 @@
         ListView seen;
         seen.leader = control.leads(configuration_partition, now);
         seen.resting = control.resting;
-        seen.list_at = control.news[configuration_partition].live_at;
+        seen.list_at = control.views[configuration_partition].live_at;
         if (!seen.leader && now - seen.list_at > list_polling.fallback)
             seen.members = control.membership.alive_members(false).size();
         return seen;
--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -29,7 +29,7 @@
     resting_now = false;
     in_control([this] {
         control.resting = false;
-        for (auto& item : control.news) item.ask_token = 0;
+        for (auto& item : control.views) item.ask_token = 0;
         tick_control();
     });
 }
--- a/tests/changes_leader_test.cpp
+++ b/tests/changes_leader_test.cpp
@@ -90,7 +90,7 @@
     REQUIRE(put_and_wait(*world, 4, "first") == 200);
     REQUIRE(world->run_until_true([&] { return all_hold(*world, "first"); }, 4 * one_second));
     auto& leader = *world->nodes[*world->leader(configuration_partition)];
-    auto const newest = etag_of(leader.control.news[configuration_partition].copy.sequence);
+    auto const newest = etag_of(leader.control.views[configuration_partition].copy.sequence);
     auto const answer_to = [&](std::string const& held) {
         auto call = Call{configuration_partition, "", "get", held, ""};
         auto const told =
--- a/tests/disks_test.cpp
+++ b/tests/disks_test.cpp
@@ -81,7 +81,7 @@
         world->run_until(world->now + 3 * one_second);
         CHECK(without_duties(*world, ill));
         CHECK(world->nodes[ill]->control.membership.self.identity != identity);
-        CHECK(world->nodes[ill]->control.news[configuration_partition].copy.document == "meanwhile");
+        CHECK(world->nodes[ill]->control.views[configuration_partition].copy.document == "meanwhile");
         well_again(*world, ill);
         CHECK(world->run_until_true([&] { return world->settled(); }, 8 * one_second));
         CHECK(world->nodes[ill]->control.membership.self.identity == identity);
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -179,7 +179,7 @@
     act(node, [&] { return node.control.tick(now); });
     ListView view;
     view.leader = node.control.leads(configuration_partition, now);
-    view.list_at = node.control.news[configuration_partition].live_at;
+    view.list_at = node.control.views[configuration_partition].live_at;
     if (!view.leader && now - view.list_at > node.list_polling.fallback)
         view.members = node.control.membership.alive_members(false).size();
     if (node.list_polling.due(view, now, node.control.random)) read_list(node);
--- a/tests/hollow/phases.cpp
+++ b/tests/hollow/phases.cpp
@@ -63,7 +63,8 @@
         fleet.run_until_true([&] { return fleet.call_results.contains(token); }, 5 * one_second);
         if (!fleet.call_results.contains(token) || fleet.call_results[token].status != 200) continue;
         acknowledged.push_back(static_cast<double>(fleet.now - asked) / 1'000.0);
-        auto const sequence = fleet.owner(configuration_partition)->control.news[configuration_partition].copy.sequence;
+        auto const sequence =
+            fleet.owner(configuration_partition)->control.views[configuration_partition].copy.sequence;
         auto const taken = fleet.run_until_true(
             [&] {
                 return std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [&](auto const& node) {
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -128,7 +128,7 @@
     auto rules = std::make_shared<Rules>();
     rules->sequence = {2, 3};
     held.rules = rules;
-    control.news[configuration_partition].copy.sequence = {2, 2};
+    control.views[configuration_partition].copy.sequence = {2, 2};
     {
         auto const expected = ExpectedViolations{Invariant::configuration_never_back};
         CHECK(make_snapshot(control, held)->rules == held.rules);
@@ -176,7 +176,7 @@
     auto world = simulation::formed(1);
     auto& node = *world->nodes.back();
     auto const now = world->local(node);
-    auto& item = node.control.news[configuration_partition];
+    auto& item = node.control.views[configuration_partition];
     auto const proven_at = item.proven_at;
     auto answer = UpdateAnswer();
     answer.partition = configuration_partition;
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -26,7 +26,7 @@
             member.incarnation = 1;
             control.membership.known[name] = {member, now, 0};
         }
-        control.news[configuration_partition].record = Record{1, "leader", {"other"}, {"leader", "other"}};
+        control.views[configuration_partition].record = Record{1, "leader", {"other"}, {"leader", "other"}};
     }
     auto take(ControlOutput output) -> void {
         for (auto const& send : output.sends)
@@ -44,14 +44,14 @@
         -> void {
         auto given = UpdateAnswer();
         given.token = ask.token;
-        given.record = control.news[0].record;
+        given.record = control.views[0].record;
         given.proven = true;
         given.age = age;
         given.sequence = sequence;
         if (!document.empty()) given.copy = DocumentUpdate{sequence, digest_of(document), true, document, {}};
         take(control.receive(now, "leader", "leader", given));
     }
-    auto held() -> PartitionView& { return control.news[0]; }
+    auto held() -> PartitionView& { return control.views[0]; }
 };
 
 }  // namespace
--- a/tests/news_relay_test.cpp
+++ b/tests/news_relay_test.cpp
@@ -27,7 +27,7 @@
 }
 auto edges_hold(World& world, std::string const& document) -> bool {
     return std::all_of(world.nodes.begin() + first_edge, world.nodes.end(), [&](auto const& node) {
-        return node->control.news[configuration_partition].copy.document == document;
+        return node->control.views[configuration_partition].copy.document == document;
     });
 }
 auto oldest_proof(World& world) -> Microseconds {
@@ -58,7 +58,7 @@
     auto world = relayed_world(3);
     std::map<std::string, int> asked;  // edges that asked each node last
     for (auto edge = first_edge; edge < world->nodes.size(); ++edge) {
-        auto const& item = world->nodes[edge]->control.news[configuration_partition];
+        auto const& item = world->nodes[edge]->control.views[configuration_partition];
         CHECK(item.asked_relay);
         ++asked[item.asked_whom];
     }
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -93,7 +93,7 @@
         world->act(index, node.control.list_read(world->local(node), world->local(node), text));
     };
     auto const list = [&](std::size_t index) {
-        return world->nodes[index]->control.news[configuration_partition].live;
+        return world->nodes[index]->control.views[configuration_partition].live;
     };
     read(holder, "first");
     CHECK(world->run_until_true([&] { return list(5) == "first"; }, one_second));
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -87,7 +87,7 @@
 
     auto in_force(std::string const& document) const -> bool {
         return std::any_of(world.nodes.begin(), world.nodes.end(), [&](auto const& node) {
-            return node->control.news[configuration_partition].copy.document == document;
+            return node->control.views[configuration_partition].copy.document == document;
         });
     }
 
--- a/tests/patch_test.cpp
+++ b/tests/patch_test.cpp
@@ -88,7 +88,7 @@
         CHECK(statuses.back() == 422);
         world->run_until(world->now + 2 * one_second);
         for (auto const& node : world->nodes) {
-            auto const held = check_configuration(node->control.news[configuration_partition].copy.document);
+            auto const held = check_configuration(node->control.views[configuration_partition].copy.document);
             CHECK(held.configuration.root.rank == 5);
             CHECK(held.configuration.limits.buffer_length == 77);
         }
--- a/tests/product_refusal_test.cpp
+++ b/tests/product_refusal_test.cpp
@@ -87,7 +87,7 @@
         }
     });
     set_log_level(Level::warning);
-    auto& news = node->control.news[configuration_partition];
+    auto& news = node->control.views[configuration_partition];
     news.copy.document = tree();
     for (auto number = std::uint64_t{2}; number < 2 + changes; ++number) {
         auto const looked = looks.load();
--- a/tests/simulation/fleet_operators.cpp
+++ b/tests/simulation/fleet_operators.cpp
@@ -54,7 +54,7 @@
         isolated_in_it.push_back(tenant.isolated);
     }
     auto const settled = std::make_shared<bool>(false);
-    auto const condition = etag_of(world.nodes[index]->control.news[configuration_partition].copy.sequence);
+    auto const condition = etag_of(world.nodes[index]->control.views[configuration_partition].copy.sequence);
     auto const again = [this, settled] {
         if (std::exchange(*settled, true)) return;
         putting = false;
@@ -97,7 +97,7 @@
 // Two operators with one condition, at two nodes, and one with a bad tree.
 auto Fleet::race() -> void {
     auto const index = some_node();
-    auto const condition = etag_of(world.nodes[index]->control.news[configuration_partition].copy.sequence);
+    auto const condition = etag_of(world.nodes[index]->control.views[configuration_partition].copy.sequence);
     for (auto count = 0; count < 2; ++count) {
         auto const other = some_node();
         if (world.nodes[other]->running && !putting) world.put(other, tree(), condition);
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -36,7 +36,7 @@
 auto Operators::change() -> std::size_t { return add("patch", "", ""); }
 
 auto Operators::race(std::size_t node) -> void {
-    auto const& known = world.nodes[node]->control.news[configuration_partition].copy;
+    auto const& known = world.nodes[node]->control.views[configuration_partition].copy;
     if (known.sequence == Sequence{}) return;
     auto const condition = etag_of(known.sequence);
     auto const document = known.document;
--- a/tests/simulation/scenario_changes.cpp
+++ b/tests/simulation/scenario_changes.cpp
@@ -47,7 +47,7 @@
     auto const returned = world.now;
     auto const current = [&] {
         auto const& node = *world.nodes[away];
-        return node.control.news[configuration_partition].copy.sequence >= world.highest_acknowledged;
+        return node.control.views[configuration_partition].copy.sequence >= world.highest_acknowledged;
     };
     if (!run_until(current, catch_up_limit()))
         world.violation("a machine that was away is not current within the time to catch up");
--- a/tests/simulation/storm.cpp
+++ b/tests/simulation/storm.cpp
@@ -30,7 +30,7 @@
         auto const index = any();
         if (!world.nodes[index]->running) return;
         auto const conditional = random.below(3) == 0;
-        auto const known = world.nodes[index]->control.news[configuration_partition].copy.sequence;
+        auto const known = world.nodes[index]->control.views[configuration_partition].copy.sequence;
         world.put(index, document, conditional ? etag_of(known) : "", "", [this](int status) {
             if (status == 200 && power_fails_next) world.at(world.now, [this] { fail_power(); });
         });
@@ -227,7 +227,7 @@
         world.violation("a change in calm was answered " + std::to_string(world.changes[last].status));
     world.run_until(world.now + 3 * one_second);
     for (auto const& node : world.nodes)
-        if (node->control.news[configuration_partition].copy.document != "the last document")
+        if (node->control.views[configuration_partition].copy.document != "the last document")
             world.violation(node->address + " does not hold the last document");
     world.judge_history();
     for (auto const& change : world.changes) {
--- a/tests/simulation/world_checks.cpp
+++ b/tests/simulation/world_checks.cpp
@@ -198,7 +198,7 @@
                 "two records decided for partition " + std::to_string(partition.index) + " term " +
                 std::to_string(partition.votes.decided.term));
     }
-    auto const& item = node.control.news[configuration_partition];
+    auto const& item = node.control.views[configuration_partition];
     if (item.copy.sequence < node.newest_seen) violation(node.address + " went back to an older configuration");
     if (item.copy.sequence == node.newest_seen) {
         if (node.control.proof_age(configuration_partition, local(node)) >= 1'500 * one_millisecond) return;
--- a/tests/versioned_test.cpp
+++ b/tests/versioned_test.cpp
@@ -127,7 +127,7 @@
         world->run_until(world->now + 2 * one_second);
         for (auto const& node : world->nodes) {
             Problems problems;
-            auto const held = read_plain(node->control.news[configuration_partition].copy.document, problems);
+            auto const held = read_plain(node->control.views[configuration_partition].copy.document, problems);
             REQUIRE(held);
             CHECK(held->version == 13);
         }
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -91,7 +91,8 @@
     world->act(holder, node.control.live_read(partition, world->local(node), world->local(node), text));
     auto duties = Duties{*world};
     duties.run(one_second);
-    for (auto const& other : world->nodes) CHECK(other->control.news[static_cast<std::size_t>(partition)].live == text);
+    for (auto const& other : world->nodes)
+        CHECK(other->control.views[static_cast<std::size_t>(partition)].live == text);
     world->act(holder, node.control.list_read(world->local(node), world->local(node), list_text()));
     duties.step();
     CHECK(snapshot_of(node).replica_weights.at("a") == ReplicaWeights{{{model, 2}}, true});
--- a/tests/world_helpers.hpp
+++ b/tests/world_helpers.hpp
@@ -22,7 +22,7 @@
 }
 inline auto all_hold(World& world, std::string const& document) -> bool {
     return std::all_of(world.nodes.begin(), world.nodes.end(), [&](auto const& node) {
-        return !node->running || node->control.news[configuration_partition].copy.document == document;
+        return !node->running || node->control.views[configuration_partition].copy.document == document;
     });
 }
 
