--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -57,9 +57,9 @@
     return made;
 }
 
-auto apply_update(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string> {
-    auto made = news.whole ? std::optional(news.text) : apply_edits(item.copy.document, news.edits);
-    if (!made || digest_of(*made) != news.digest) return std::nullopt;
+auto apply_update(PartitionView const& item, DocumentUpdate const& update) -> std::optional<std::string> {
+    auto made = update.whole ? std::optional(update.text) : apply_edits(item.copy.document, update.edits);
+    if (!made || digest_of(*made) != update.digest) return std::nullopt;
     return made;
 }
 
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -90,7 +90,7 @@
 // The same; the difference that many ask for is made once.
 auto shared_update(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate;
 // The document it makes; nothing where it does not fit what is held.
-auto apply_update(PartitionView const& item, DocumentUpdate const& news) -> std::optional<std::string>;
+auto apply_update(PartitionView const& item, DocumentUpdate const& update) -> std::optional<std::string>;
 auto remember(PartitionView& item) -> void;
 
 }  // namespace dockrock
--- a/source/control/partition_watch.cpp
+++ b/source/control/partition_watch.cpp
@@ -5,25 +5,25 @@
 namespace dockrock {
 
 auto PartitionWatch::look(
-    Partition const& partition, PartitionView const& news, std::string const& self, Microseconds now) -> bool {
+    Partition const& partition, PartitionView const& view, std::string const& self, Microseconds now) -> bool {
     auto const leased = partition.has_lease(self, now);
     auto const& decided = partition.votes.decided;
-    auto const known = std::max(decided.term, news.record.term);
-    auto const& leader = decided.term == known ? decided.leader : news.record.leader;
+    auto const known = std::max(decided.term, view.record.term);
+    auto const& leader = decided.term == known ? decided.leader : view.record.leader;
     if (known > 0 && leader != self) other_holder_at = now;
     auto const terms = invariants::check(invariants::TermFacts{highest_term, known, leased, decided.term});
     highest_term = known;
-    return content_kept(partition, news, leased && partition.committed) && terms;
+    return content_kept(partition, view, leased && partition.committed) && terms;
 }
 
-auto PartitionWatch::content_kept(Partition const& partition, PartitionView const& news, bool leased) -> bool {
-    auto const& text = news.copy.document;
-    auto const moved = news.copy.sequence != in_force;
+auto PartitionWatch::content_kept(Partition const& partition, PartitionView const& view, bool leased) -> bool {
+    auto const& text = view.copy.document;
+    auto const moved = view.copy.sequence != in_force;
     if (moved || text.data() != document) {
         auto const fresh = digest_of(text);
-        auto const facts = invariants::InForceFacts{in_force, news.copy.sequence, digest, fresh};
+        auto const facts = invariants::InForceFacts{in_force, view.copy.sequence, digest, fresh};
         auto const first = document == nullptr;
-        in_force = news.copy.sequence;
+        in_force = view.copy.sequence;
         digest = fresh;
         document = text.data();
         if (!first && !invariants::check(facts)) return false;
--- a/source/control/partition_watch.hpp
+++ b/source/control/partition_watch.hpp
@@ -16,10 +16,10 @@
     Microseconds other_holder_at = -3'600 * one_second;  // another than this node was last known to lead
 
     // After anything happened; false where nothing may be told of the partition by this node.
-    auto look(Partition const& partition, PartitionView const& news, std::string const& self, Microseconds now) -> bool;
+    auto look(Partition const& partition, PartitionView const& view, std::string const& self, Microseconds now) -> bool;
 
    private:
-    auto content_kept(Partition const& partition, PartitionView const& news, bool leased) -> bool;
+    auto content_kept(Partition const& partition, PartitionView const& view, bool leased) -> bool;
 };
 
 }  // namespace dockrock
--- a/source/control/weights_controller.cpp
+++ b/source/control/weights_controller.cpp
@@ -61,7 +61,7 @@
         return;
     }
     if (snapshot.list.replicas.empty()) return;  // not known yet: a former leader's words stay as they are
-    auto const& news = control.views[static_cast<std::size_t>(partition)];
+    auto const& view = control.views[static_cast<std::size_t>(partition)];
     auto const sure = control.proof_age(partition, now) <= one_second &&
         control.proof_age(configuration_partition, now) <= one_second;
     std::set<std::string> models;
@@ -77,7 +77,7 @@
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
         if (fresh) {  // what a former leader had under way is asked after first
-            if (!read_told) told = read_weights_states(news.live);
+            if (!read_told) told = read_weights_states(view.live);
             read_told = true;
             rollout.target = snapshot.target_version(model);
             for (auto const& replica : replicas)
@@ -107,7 +107,7 @@
     note_held(partition, behind ? reason : OrdersHeld::no, actions);
     if (!leased) return;
     auto text = json::serialize(write_json(words));
-    if (text != news.live && !(text == no_words && news.live.empty()))
+    if (text != view.live && !(text == no_words && view.live.empty()))
         actions.words.emplace_back(partition, std::move(text));
 }
 
--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -80,16 +80,16 @@
 
 TEST_CASE("planted: a term that falls, and a lease beside a successor, are caught", "[invariants]") {
     auto const partition = leader();
-    auto news = PartitionView();
+    auto view = PartitionView();
     auto watch = PartitionWatch();
-    CHECK(watch.look(partition, news, self, now));
+    CHECK(watch.look(partition, view, self, now));
     {
         auto const expected = ExpectedViolations{Invariant::one_lease};
-        news.record = Record{3, "b", {"a"}, {"a", "b", "c", "d"}};
-        CHECK_FALSE(watch.look(partition, news, self, now));
+        view.record = Record{3, "b", {"a"}, {"a", "b", "c", "d"}};
+        CHECK_FALSE(watch.look(partition, view, self, now));
     }
     CHECK(watch.other_holder_at == now);
     auto const expected = ExpectedViolations{Invariant::one_lease};
-    news.record = Record();
-    CHECK_FALSE(watch.look(partition, news, self, now));
+    view.record = Record();
+    CHECK_FALSE(watch.look(partition, view, self, now));
 }
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -134,19 +134,19 @@
         CHECK(make_snapshot(control, held)->rules == held.rules);
     }
     auto watch = PartitionWatch();
-    auto news = PartitionView();
+    auto view = PartitionView();
     auto const partition = Partition();
-    news.copy = {{1, 2}, std::string(100, 'a'), {}};
-    CHECK(watch.look(partition, news, "self", 0));
-    CHECK(watch.look(partition, news, "self", 1));
+    view.copy = {{1, 2}, std::string(100, 'a'), {}};
+    CHECK(watch.look(partition, view, "self", 0));
+    CHECK(watch.look(partition, view, "self", 1));
     {
         auto const expected = ExpectedViolations{Invariant::configuration_never_back};
-        news.copy.document = std::string(200, 'b');
-        CHECK_FALSE(watch.look(partition, news, "self", 2));
+        view.copy.document = std::string(200, 'b');
+        CHECK_FALSE(watch.look(partition, view, "self", 2));
     }
     auto const expected = ExpectedViolations{Invariant::configuration_never_back};
-    news.copy.sequence = {1, 1};
-    CHECK_FALSE(watch.look(partition, news, "self", 3));
+    view.copy.sequence = {1, 1};
+    CHECK_FALSE(watch.look(partition, view, "self", 3));
 }
 
 TEST_CASE(
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -27,9 +27,9 @@
     for (auto const& fresh :
          {std::string(10'000, 'a') + "other" + std::string(10'000, 'b'), base + "tail", "head" + base, base.substr(5),
           std::string(20'000, 'a'), std::string(), base + base}) {
-        auto const news = copy_for(next_of(asker, fresh), ask);
-        CHECK(apply_update(asker, news) == fresh);
-        CHECK(news.text.size() + size_of(news.edits) <= fresh.size());
+        auto const update = copy_for(next_of(asker, fresh), ask);
+        CHECK(apply_update(asker, update) == fresh);
+        CHECK(update.text.size() + size_of(update.edits) <= fresh.size());
     }
     CHECK_FALSE(copy_for(next_of(asker, base + "tail"), ask).whole);
     auto const appended = copy_for(next_of(asker, base + "tail"), ask).edits;
@@ -43,15 +43,15 @@
 }
 
 TEST_CASE("a difference that does not fit what is held is not applied") {
-    auto const news = copy_for(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
+    auto const update = copy_for(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
         UpdateRequest ask;
         ask.have = {1, 1};
         return ask;
     }());
-    REQUIRE_FALSE(news.whole);
-    CHECK_FALSE(apply_update(held(std::string(1'000, 'x')), news).has_value());
-    CHECK_FALSE(apply_update(held(std::string(10, 'a')), news).has_value());
-    auto bad = news;
+    REQUIRE_FALSE(update.whole);
+    CHECK_FALSE(apply_update(held(std::string(1'000, 'x')), update).has_value());
+    CHECK_FALSE(apply_update(held(std::string(10, 'a')), update).has_value());
+    auto bad = update;
     bad.edits.front().kept = ~std::uint64_t{0};
     CHECK_FALSE(apply_update(held(std::string(1'000, 'a')), bad).has_value());
 }
--- a/tests/product_refusal_test.cpp
+++ b/tests/product_refusal_test.cpp
@@ -87,13 +87,13 @@
         }
     });
     set_log_level(Level::warning);
-    auto& news = node->control.views[configuration_partition];
-    news.copy.document = tree();
+    auto& view = node->control.views[configuration_partition];
+    view.copy.document = tree();
     for (auto number = std::uint64_t{2}; number < 2 + changes; ++number) {
         auto const looked = looks.load();
         while (looks == looked) std::this_thread::yield();  // the reader is at it
-        news.copy.sequence = {1, number};
-        news.proven_at = static_cast<Microseconds>(number);
+        view.copy.sequence = {1, number};
+        view.proven_at = static_cast<Microseconds>(number);
         node->publish_snapshot();
     }
     finished = true;
