--- a/source/request/relayed.hpp
+++ b/source/request/relayed.hpp
@@ -14,7 +14,7 @@
 };
 
 struct RelayVerdict {
-    Verdict verdict;  // kind `enter`, or an answer with its status and reason
+    Verdict verdict;  // kind `enqueue`, or an answer with its status and reason
     Route const* route = nullptr;
     ServiceTenant const* tenant = nullptr;
     std::shared_ptr<ServiceRules const> rules;  // keeps route and tenant alive
