--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -158,7 +158,7 @@
         auto const decisions = schedule(scheduler, now);
         for (auto const& item : decisions.placements) {
             CHECK(item.replica == "r1");
-            scheduler.load_table.release("r1", item.inference);
+            scheduler.load_table.release("r1", item.request_number);
         }
         placed += decisions.placements.size();
         for (auto const& item : decisions.sheds) CHECK(item.reason == ShedReason::budget);
