--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "base/copy_change.hpp"
-#include "base/naming_messages.hpp"
+#include "base/version_age_messages.hpp"
 #include "base/relay_messages.hpp"
 
 namespace dockrock {
@@ -118,14 +118,14 @@
 };
 // news (design 8)
 // A document as news: whole, or what differs from one that the asker holds.
-struct NewsCopy {
+struct DocumentUpdate {
     Sequence sequence;
     std::uint64_t digest = 0;  // of the document it makes
     bool whole = true;
     std::string text;  // if whole
     TextEdits edits;   // if not
 };
-struct NewsAsk {
+struct UpdateRequest {
     int partition = 0;
     std::uint64_t token = 0;
     std::uint64_t term = 0;
@@ -134,14 +134,14 @@
     Microseconds live_age = 0;
     bool whole = false;  // a difference did not fit
 };
-struct NewsAnswer {
+struct UpdateAnswer {
     int partition = 0;
     std::uint64_t token = 0;
     Record record;
     bool proven = false;  // a leased leader stood behind this `age` ago
     Microseconds age = 0;
     Sequence sequence;  // what the answerer holds
-    std::optional<NewsCopy> copy;
+    std::optional<DocumentUpdate> copy;
     std::uint64_t live_digest = 0;
     std::string live;  // the replica list, where it differs and is newer
     Microseconds live_age = 0;
@@ -174,14 +174,14 @@
     Sequence sequence;
     std::string document;
 };
-struct AnewAsk {
+struct RecoveryRequest {
     std::uint64_t token = 0;
 };
-struct AnewAnswer {
+struct RecoveryAnswer {
     std::uint64_t token = 0;
     std::vector<HeldPartition> partitions;
 };
-struct FormAnew {
+struct RecoverFleet {
     std::uint64_t term = 0;
     std::vector<std::string> voters;
     std::vector<HeldPartition> partitions;
@@ -201,30 +201,30 @@
     std::uint64_t term = 0;
     int state = 0;
 };
-struct ClaimFlight {
+struct ClaimReplication {
     int partition = 0;
     Record record;
     std::uint64_t life = 0;  // of the leader
     std::uint64_t number = 0;
     std::string claims;
 };
-struct ClaimFlown {
+struct ClaimReplicated {
     int partition = 0;
     std::uint64_t term = 0;
     std::uint64_t life = 0;
     std::uint64_t number = 0;
 };
 // granting entry and prefix digests (design 9)
-struct BurdenDigest {
+struct LoadDigest {
     std::uint64_t number = 0;
     std::string body;
 };
 
 using Message = std::variant<
     Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
-    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, NewsAnswer, CallForward, CallAnswer,
-    BurdenDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
-    LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
+    Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, UpdateRequest, UpdateAnswer, CallForward, CallAnswer,
+    LoadDigest, ClaimAsk, ClaimAnswer, ClaimReplication, ClaimReplicated, RecoveryRequest, RecoveryAnswer, RecoverFleet,
+    LoadReport, LoadShare, LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, VersionAges>;
 
 inline constexpr auto message_names = std::to_array<std::string_view>(
     {"probe",         "probe-answer", "probe-for",     "prepare",      "promise",     "accept",       "accepted",
--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -13,20 +13,21 @@
 constexpr auto mebibyte = Microseconds{1} << 20U;
 }  // namespace
 
-auto put_note(LinkNote const& note, std::string_view frame) -> std::string {
+auto put_link_header(LinkHeader const& note, std::string_view frame) -> std::string {
     std::string bytes;
     bytes.reserve(note_size + frame.size());
-    for (auto const number : {note.life, note.number, note.heard_life, note.heard_number}) put_number(bytes, number);
+    for (auto const number : {note.instance, note.number, note.heard_instance, note.heard_number})
+        put_number(bytes, number);
     put_number(bytes, checksum_of(bytes));
     return bytes.append(frame);
 }
 
-auto take_note(std::string_view& bytes) -> std::optional<LinkNote> {
+auto take_link_header(std::string_view& bytes) -> std::optional<LinkHeader> {
     if (bytes.size() < note_size) return std::nullopt;
     auto head = bytes.substr(0, note_size);
     auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
-    auto note = LinkNote();
-    for (auto* number : {&note.life, &note.number, &note.heard_life, &note.heard_number})
+    auto note = LinkHeader();
+    for (auto* number : {&note.instance, &note.number, &note.heard_instance, &note.heard_number})
         *number = take_number(head).value_or(0);
     if (take_number(head) != checksum) return std::nullopt;
     bytes.remove_prefix(note_size);
@@ -74,7 +75,7 @@
 // Up to the frame that was sent last when the watched one was known to be there, the next is watched.
 auto PeerLink::arrived(std::uint64_t number) -> void {
     if (waiting != 0) measure();
-    hangs = another_life = false;
+    hangs = other_instance = false;
     waiting = number < last_number ? last_number : 0;
     waiting_since = last_at;
     waiting_stood = last_stood;
@@ -92,16 +93,17 @@
     renewals = 0;
 }
 
-auto PeerLink::is_former(std::uint64_t life) const -> bool {
-    return life != 0 && std::find(former_lives.begin(), former_lives.end(), life) != former_lives.end();
+auto PeerLink::is_former(std::uint64_t instance) const -> bool {
+    return instance != 0 &&
+        std::find(former_instances.begin(), former_instances.end(), instance) != former_instances.end();
 }
 
 // What is left of a former life may still come after the first words of the next.
-auto PeerLink::take_life(std::uint64_t life) -> void {
-    if (life == heard_life) return;
-    hangs = another_life = heard_life != 0 && last_number != 0;
-    former_lives[next_former++ % former_lives.size()] = heard_life;
-    heard_life = life;
+auto PeerLink::take_instance(std::uint64_t instance) -> void {
+    if (instance == heard_instance) return;
+    hangs = other_instance = heard_instance != 0 && last_number != 0;
+    former_instances[next_former++ % former_instances.size()] = heard_instance;
+    heard_instance = instance;
     heard_number = 0;
 }
 
@@ -112,14 +114,14 @@
 
 // Of the lives between restarts in one cut the words may come in any order: a former life that goes on where the
 // present one is silent is the one that runs.
-auto PeerLink::heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void {
-    auto const silent = now - heard_at > times.life_silence;
-    if (note.life != heard_life && is_former(note.life) && !silent) return;
-    take_life(note.life);
+auto PeerLink::heard(LinkHeader const& note, std::uint64_t own_life, Microseconds now) -> void {
+    auto const silent = now - heard_at > times.instance_silence;
+    if (note.instance != heard_instance && is_former(note.instance) && !silent) return;
+    take_instance(note.instance);
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
     auto const least = waiting != 0 ? waiting : last_number;
-    if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
+    if (note.heard_instance == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
     missed(now);
 }
 
@@ -127,7 +129,7 @@
 
 auto PeerLink::dialled() -> void {
     if (hangs) ++renewals;
-    hangs = another_life = false;
+    hangs = other_instance = false;
     waiting = 0;
     waiting_bytes = behind_bytes = 0;
     missed_for = 0;
--- a/source/base/relay_messages.hpp
+++ b/source/base/relay_messages.hpp
@@ -7,7 +7,7 @@
 namespace dockrock {
 
 // load through relays (design 9.8); the bodies are texts of ticket/load
-struct LoadTold {  // a node to its relay
+struct LoadReport {  // a node to its relay
     std::uint64_t number = 0;
     std::uint64_t heard = 0;  // the sum that it holds of this relay; 0: none
     std::string body;
@@ -28,7 +28,7 @@
     std::string body;
 };
 // changes of kept prompts (design 9.9)
-struct KeptBatch {  // what a replica or store told when it was read once
+struct CacheBatch {  // what a replica or store told when it was read once
     std::string source;
     bool store = false;
     std::string life;  // changes when the source restarts
@@ -36,7 +36,7 @@
     std::uint64_t next = 0;  // number of the first event after these
     bool anew = false;       // what it told before no longer holds
     std::vector<std::string> weights;
-    std::string changes;  // text of kept_feed
+    std::string changes;  // text of cache_feed
 };
 struct FeedAsk {
     std::uint64_t feed = 0;  // the log read before, and how far
@@ -46,7 +46,7 @@
 struct FeedAnswer {
     std::uint64_t feed = 0;
     std::uint64_t position = 0;  // where the next question goes on
-    std::vector<KeptBatch> batches;
+    std::vector<CacheBatch> batches;
 };
 
 }  // namespace dockrock
--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -1,5 +1,5 @@
 // What operators and the platform ask of a node. docs/interfaces.md.
-#include "connection/losses.hpp"
+#include "connection/loss_tolerance.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/node_call.hpp"
 #include "connection/peers_status.hpp"
@@ -46,7 +46,7 @@
             "name", json::string_view(partition_names[index].data(), partition_names[index].size()), "term",
             record.term, "leader", record.leader, "followers", write_json(record.followers), "voters",
             write_json(record.voters), "leads_here", node.control.leads(number, now), "sequence",
-            etag_of(node.control.news[index].copy.sequence), "proof_age_microseconds",
+            etag_of(node.control.views[index].copy.sequence), "proof_age_microseconds",
             node.control.proof_age(number, now), "disk_healthy", node.control.partitions[index].healthy));
     }
     auto const current = node.snapshot.load();
@@ -55,13 +55,13 @@
     auto const disk = name_of(node.disk_state(now));
     return fields(
         "disk", json::string_view(disk.data(), disk.size()), "invariant_violations", violations_object(),
-        "one_more_loss_safe", safe, "losses_borne", node.losses_bearable.count.load(), "losses_borne_for_microseconds",
-        now - node.losses_bearable.since.load(), "why_not", std::move(problems), "news_bytes", node.control.news_bytes,
-        "news_bytes_whole", node.control.news_bytes_whole, "identity", node.control.membership.self.identity, "ready",
+        "one_more_loss_safe", safe, "losses_borne", node.loss_tolerance.count.load(), "losses_borne_for_microseconds",
+        now - node.loss_tolerance.since.load(), "why_not", std::move(problems), "news_bytes", node.control.update_bytes,
+        "news_bytes_whole", node.control.update_bytes_whole, "identity", node.control.membership.self.identity, "ready",
         node.ready(now), "resting", node.resting_now.load(), "stopping", node.stopping.load(), "configuration_in_force",
         etag_of(current->rules->sequence), "replicas_listed", current->list.replicas.size(), "list_age_microseconds",
-        now - node.control.news[configuration_partition].live_at, "open_tickets", node.open_tickets.load(), "members",
-        std::move(members), "peers", write_peers(node.transport, now), "partitions", std::move(partitions));
+        now - node.control.views[configuration_partition].live_at, "open_tickets", node.open_inferences.load(),
+        "members", std::move(members), "peers", write_peers(node.transport, now), "partitions", std::move(partitions));
 }
 
 }  // namespace
@@ -158,11 +158,11 @@
         co_return co_await answer(request, known ? 405 : 404, fields("error", what));
     }
     if (call.operation != "get" && call.identity.empty())
-        call.identity = "node-" + std::to_string(clock_now()) + "-" + std::to_string(node.next_ticket++);
+        call.identity = "node-" + std::to_string(clock_now()) + "-" + std::to_string(node.next_request_number++);
     auto const asked_at = clock_now();
     auto room = MemoryShare(node.message_memory);
     auto done = co_await node_call(node, call, room);
-    if (call.operation != "get" && done.status == 200) node.measures.in_force.add(clock_now() - asked_at);
+    if (call.operation != "get" && done.status == 200) node.latency_metrics.in_force.add(clock_now() - asked_at);
     auto headers = Headers();
     if (!done.etag.empty()) headers.emplace_back("ETag", done.etag);
     if (done.status == 503) headers.emplace_back("Retry-After", "1");
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -31,8 +31,8 @@
 }
 
 // Into the buffer, and out of it with a placement or a shedding.
-auto Session::enter_buffer(Course& course) -> awaitable<CourseStep> {
-    auto const number = course.ticket.number;
+auto Session::enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
+    auto const number = lifecycle.inference.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
     auto wake = [slot] {
@@ -42,97 +42,100 @@
         });
     };
     auto const began = clock_now();
-    node.table.enter(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(lifecycle.inference, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
     auto const present = co_await wait_for_slot(slot);
     if (!present) {
         node.table.abandon(number);
         ++node.counters.callers_gone;
-        co_return course.gone();
+        co_return lifecycle.gone();
     }
     auto const entry = node.table.leave(number);
-    node.measures.waiting(course.ticket).add(clock_now() - began);
+    node.latency_metrics.waiting(lifecycle.inference).add(clock_now() - began);
     if (entry.shed)
-        co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
-    co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
+        co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+    co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
-auto Session::claim(Course& course) -> awaitable<CourseStep> {
+auto Session::claim(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
     auto const executor = co_await asio::this_coro::executor;
     auto const asked_at = clock_now();
     auto const done = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(ClaimDone)>(
         [&](auto handler) {
             auto const shared = std::make_shared<decltype(handler)>(std::move(handler));
-            node.make_claim(course.ticket, false, [executor, shared](ClaimDone result) {
+            node.make_claim(lifecycle.inference, false, [executor, shared](ClaimDone result) {
                 asio::post(executor, [shared, result]() mutable { std::move (*shared)(result); });
             });
         },
         asio::use_awaitable);
-    node.measures.claim.add(clock_now() - asked_at);
+    node.latency_metrics.claim.add(clock_now() - asked_at);
     auto& counter = done.state == ClaimState::granted ? node.counters.claims_granted
         : done.state == ClaimState::seen              ? node.counters.claims_seen
                                                       : node.counters.claims_unknown;
     ++counter;
-    co_return course.claimed(done.state, done.term, asked_at, node.facts_for(course.placement.replica));
+    co_return lifecycle.claimed(done.state, done.term, asked_at, node.lifecycle_facts(lifecycle.placement.replica));
 }
 
-auto Session::send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep> {
+auto Session::send_try(HttpRequest const& request, RequestLifecycle& lifecycle, bool& usable)
+    -> awaitable<LifecycleStep> {
     ++node.counters.tries;
     auto const sent_at = clock_now();
-    auto const replica = course.placement.replica;
-    auto const result = co_await run_try(*this, course, request.keep_alive());
-    node.try_ended(replica, course.ticket, result.end, result.reason, sent_at);
-    log_ticket(course.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
+    auto const replica = lifecycle.placement.replica;
+    auto const result = co_await run_try(*this, lifecycle, request.keep_alive());
+    node.try_ended(replica, lifecycle.inference, result.end, result.reason, sent_at);
+    log_inference(
+        lifecycle.inference, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
     usable = result.usable;
-    co_return result.held_back ? course.held_back() : course.ended(result.end, result.reason);
+    co_return result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason);
 }
 
-auto Session::log_ticket(Ticket const& ticket, char const* event, std::string what, std::string replica) -> void {
+auto Session::log_inference(InferenceRequest const& inference, char const* event, std::string what, std::string replica)
+    -> void {
     write_log(
         Level::debug, event,
-        fields("ticket", ticket.number, "tenant", ticket.tenant_path, "what", what, "replica", replica));
+        fields("ticket", inference.number, "tenant", inference.tenant_path, "what", what, "replica", replica));
 }
 
-auto Session::run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
-    auto course = Course();
-    course.ticket = std::move(verdict.ticket);
-    course.ticket.number = node.next_ticket++;
-    course.rules = sequence;
-    ticket_number = course.ticket.number;
+auto Session::run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
+    auto lifecycle = RequestLifecycle();
+    lifecycle.inference = std::move(verdict.inference);
+    lifecycle.inference.number = node.next_request_number++;
+    lifecycle.rules = sequence;
+    request_number = lifecycle.inference.number;
     if (node.resting_now) node.wake();
     try {
-        co_return co_await follow(request, course);
+        co_return co_await follow(request, lifecycle);
     } catch (...) {  // its connection ends; no place at a replica may stay taken
-        node.table.abandon(course.ticket.number);
-        node.release(course.placement.replica, course.ticket.number);
+        node.table.abandon(lifecycle.inference.number);
+        node.release(lifecycle.placement.replica, lifecycle.inference.number);
         throw;
     }
 }
 
-auto Session::follow(HttpRequest const& request, Course& course) -> awaitable<bool> {
+auto Session::follow(HttpRequest const& request, RequestLifecycle& lifecycle) -> awaitable<bool> {
     auto usable = false;
-    for (auto step = course.begin();;) {
-        log_ticket(
-            course.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
-            course.placement.replica);
-        if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
-        if (step.release_claim) node.make_claim(course.ticket, true, {});
+    for (auto step = lifecycle.begin();;) {
+        log_inference(
+            lifecycle.inference, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
+            lifecycle.placement.replica);
+        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.inference.number);
+        if (step.release_claim) node.make_claim(lifecycle.inference, true, {});
         switch (step.step) {
-            case Step::enter: step = co_await enter_buffer(course); break;
-            case Step::claim: step = co_await claim(course); break;
+            case Step::enqueue: step = co_await enter_buffer(lifecycle); break;
+            case Step::claim: step = co_await claim(lifecycle); break;
             case Step::interpret: {
-                auto const facts = node.facts_for(course.placement.replica);
+                auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
                 auto [later, current] = co_await interpret_now(request);
-                step = course.judged(std::move(later), current->rules->sequence, facts);
+                step = lifecycle.judged(std::move(later), current->rules->sequence, facts);
                 break;
             }
-            case Step::send: step = co_await send_try(request, course, usable); break;
+            case Step::send: step = co_await send_try(request, lifecycle, usable); break;
             case Step::answer_shed: co_return co_await shed(request, step.reason, step.retry_after);
             case Step::answer_failure:  // of relayed requests alone
             case Step::answer_unknown: co_return co_await unknown(request, step.reason);
             case Step::answer_refused:
                 if (!node.refusal_leaves(step.status)) co_return co_await shed(request, "not-fresh", 1);
                 ++node.counters.refused;
-                node.note_refusal(step.status, course.rules);
+                node.note_refusal(step.status, lifecycle.rules);
                 co_return co_await answer(request, step.status, fields("outcome", "shed", "error", step.reason));
             case Step::answer_seen: co_return co_await answer(request, 409, seen_body());
             case Step::finished: co_return usable;
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -42,7 +42,7 @@
     line("did_not_run_total", counters.did_not_run.load());
     line("connect_failures_total", counters.connect_failures.load());
     line("prefix_tokens_total", counters.prefix_tokens.load());
-    line("kept_tokens_total", counters.kept_tokens.load());
+    line("kept_tokens_total", counters.cached_tokens.load());
     line("fetched_tokens_total", counters.fetched_tokens.load());
     line("fetches_total", counters.fetches.load());
     line("claims_granted_total", counters.claims_granted.load());
@@ -63,10 +63,10 @@
     line("peer_dials_total", transport.dials.load());
     line("peer_redials_total", transport.redials.load());
     line("peer_connections_lost_total", transport.connections_lost->load());
-    sight.write(text);
+    update_metrics.write(text);
     line("client_connections", client_connections.load());
     if (most_client_connections != no_limit) line("client_connections_limit", most_client_connections);
-    line("open_tickets", open_tickets.load());
+    line("open_tickets", open_inferences.load());
     line("resting", resting_now ? 1 : 0);
     line("ready", ready(now) ? 1 : 0);
     auto const disk = disk_state(now);
@@ -75,20 +75,21 @@
     line("disk_failures_total", counters.disk_failures.load());
     line("disk_repairs_total", counters.disk_repairs.load());
     line("proof_age_microseconds", proof_age(now));
-    line("losses_borne", losses_bearable.count.load());
-    line("losses_borne_for_microseconds", now - losses_bearable.since.load());
-    measures.write(text);
+    line("losses_borne", loss_tolerance.count.load());
+    line("losses_borne_for_microseconds", now - loss_tolerance.since.load());
+    latency_metrics.write(text);
     write_machine(text, limits, process_use());
     if (message_memory.most() != MemoryBudget::unlimited) line("message_memory_limit_bytes", message_memory.most());
     line("message_memory_bytes", message_memory.used());
     line("message_memory_refusals_total", message_memory.refusals());
     auto const guard = std::lock_guard(table.lock);
-    line("waiting_tickets", table.granting.waiting_count());
-    line("extra_tries_total", table.granting.extra_tries);
+    line("waiting_tickets", table.scheduler.waiting_count());
+    line("extra_tries_total", table.scheduler.extra_tries);
     for (auto index = std::size_t{0}; index < filter_names.size(); ++index)
-        line("filter_total{filter=\"" + std::string(filter_names[index]) + "\"}", table.granting.filtered[index]);
+        line("filter_total{filter=\"" + std::string(filter_names[index]) + "\"}", table.scheduler.filtered[index]);
     for (auto index = std::size_t{0}; index < shed_names.size(); ++index)
-        line("shed_reason_total{reason=\"" + std::string(shed_names[index]) + "\"}", table.granting.shed_counts[index]);
+        line(
+            "shed_reason_total{reason=\"" + std::string(shed_names[index]) + "\"}", table.scheduler.shed_counts[index]);
     return text;
 }
 
--- a/source/connection/request_trace.hpp
+++ b/source/connection/request_trace.hpp
@@ -3,7 +3,7 @@
 // `scripts/request_causes.py` reads these lines. docs/operators.md.
 #include <string>
 
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 #include "version/services.hpp"
 
 namespace dockrock {
@@ -22,6 +22,7 @@
 };
 
 // At level debug; costs nothing above it.
-auto log_request(Course const& course, Route const& route, RequestTrace const& trace, Microseconds now) -> void;
+auto log_request(RequestLifecycle const& lifecycle, Route const& route, RequestTrace const& trace, Microseconds now)
+    -> void;
 
 }  // namespace dockrock
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -87,7 +87,7 @@
         auto const target = request.target();
         auto const own =
             target.starts_with("/control/") || target == "/health" || target == "/ready" || target == "/metrics";
-        auto const usable = own ? co_await handle_control(request) : co_await handle_ticket(request);
+        auto const usable = own ? co_await handle_control(request) : co_await handle_inference(request);
         if (!usable || !request.keep_alive()) break;
     }
     boost::system::error_code ignored;
@@ -99,7 +99,7 @@
     auto response = HttpResponse(static_cast<http::status>(status), 11);
     response.set(http::field::content_type, type);
     for (auto const& [name, value] : headers) response.set(name, value);
-    if (ticket_number != 0) response.set("Dockrock-Ticket", std::to_string(ticket_number));
+    if (request_number != 0) response.set("Dockrock-Ticket", std::to_string(request_number));
     response.keep_alive(request.keep_alive() && !node.stopping && !node.resting_now);
     response.body() = std::move(body);
     response.prepare_payload();
@@ -151,7 +151,7 @@
         asio::use_awaitable);
 }
 
-auto Session::handle_ticket(HttpRequest const& request) -> awaitable<bool> {
+auto Session::handle_inference(HttpRequest const& request) -> awaitable<bool> {
     ++node.counters.tickets;
     // A node that has just started waits a little for its first configuration.
     for (auto count = 0;
@@ -160,7 +160,7 @@
         co_await wait_for(std::chrono::milliseconds(50));
     auto const proven = node.proven_at.load();
     auto [verdict, current] = co_await interpret_now(request);
-    node.last_ticket = clock_now();
+    node.last_request_at = clock_now();
     if (verdict.kind == Verdict::Kind::answer) {
         if (!node.may_refuse(proven) || !node.refusal_leaves(verdict.status))
             co_return co_await shed(request, "not-fresh", 1);
@@ -173,11 +173,11 @@
         co_return co_await answer(request, verdict.status, std::move(body), std::move(headers));
     }
     if (node.stopping) co_return co_await shed(request, "stopping", 1);
-    auto const counted = CountedScope(node.open_tickets);
+    auto const counted = CountedScope(node.open_inferences);
     auto const usable = verdict.kind == Verdict::Kind::forward
         ? co_await forward_application(request, std::move(verdict))
-        : co_await run_ticket(request, std::move(verdict), current->rules->sequence);
-    ticket_number = 0;
+        : co_await run_inference(request, std::move(verdict), current->rules->sequence);
+    request_number = 0;
     co_return usable;
 }
 
@@ -188,7 +188,7 @@
     if (!current->list.application) co_return co_await shed(request, "no-application", 5);
     auto call = http_ask(request.method(), verdict.forward_path, request.body());
     call.content_type = std::string(request[http::field::content_type]);
-    call.headers.emplace_back("Tenant", verdict.ticket.tenant_path);
+    call.headers.emplace_back("Tenant", verdict.inference.tenant_path);
     auto const address = current->list.application->address;
     auto const result = co_await http_call(address, call, 5 * one_second);
     if (result.end != CallEnd::answered) {
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -2,7 +2,7 @@
 // One client connection and the tickets on it. docs/design.md sections 9.1, 10.
 #include "connection/http_message.hpp"
 #include "process/node.hpp"
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 namespace dockrock {
 
@@ -17,7 +17,7 @@
     Node& node;
     tcp::socket socket;
     beast::flat_buffer buffer;
-    std::uint64_t ticket_number = 0;  // told to the caller with every answer, for the logs
+    std::uint64_t request_number = 0;  // told to the caller with every answer, for the logs
 
     auto serve() -> awaitable<void>;
     // Whether the connection can be used further.
@@ -27,19 +27,20 @@
         HttpRequest const& request, int status, std::string body, std::string type, Headers headers = Headers())
         -> awaitable<bool>;
     auto handle_control(HttpRequest const& request) -> awaitable<bool>;
-    auto handle_ticket(HttpRequest const& request) -> awaitable<bool>;
+    auto handle_inference(HttpRequest const& request) -> awaitable<bool>;
     auto forward_application(HttpRequest const& request, Verdict verdict) -> awaitable<bool>;
-    auto follow(HttpRequest const& request, Course& course) -> awaitable<bool>;
-    auto run_ticket(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
+    auto follow(HttpRequest const& request, RequestLifecycle& lifecycle) -> awaitable<bool>;
+    auto run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool>;
     auto shed(HttpRequest const& request, std::string reason, std::int64_t retry_after) -> awaitable<bool>;
     auto unknown(HttpRequest const& request, std::string reason) -> awaitable<bool>;
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
     // Waits for a placement or a shedding; neither: the caller went away.
     auto wait_for_slot(std::shared_ptr<Slot> slot) -> awaitable<bool>;
-    auto enter_buffer(Course& course) -> awaitable<CourseStep>;
-    auto claim(Course& course) -> awaitable<CourseStep>;
-    auto send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep>;
-    auto log_ticket(Ticket const& ticket, char const* event, std::string what, std::string replica) -> void;
+    auto enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
+    auto claim(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
+    auto send_try(HttpRequest const& request, RequestLifecycle& lifecycle, bool& usable) -> awaitable<LifecycleStep>;
+    auto log_inference(InferenceRequest const& inference, char const* event, std::string what, std::string replica)
+        -> void;
 };
 
 struct TryResult {
@@ -50,6 +51,6 @@
 };
 
 // Sends one try to its replica and relays the pieces (design 10).
-auto run_try(Session& session, Course const& course, bool keep_alive) -> awaitable<TryResult>;
+auto run_try(Session& session, RequestLifecycle const& lifecycle, bool keep_alive) -> awaitable<TryResult>;
 
 }  // namespace dockrock
--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -31,41 +31,42 @@
 }
 }  // namespace
 
-auto Partition::fly(Context& context) -> void {
+auto Partition::replicate(Context& context) -> void {
     // The leader's own copy is synced first: a leader that restarts can then
     // never give one sequence to two changes (design 5.4).
     in_flight = true;
-    flying = copy;
-    flying_change.reset();
+    replicating = copy;
+    replicating_change.reset();
     if (last_change && committed && last_change->base == committed->sequence && last_change->sequence == copy.sequence)
-        flying_change = last_change;
-    else if (committed && committed->sequence < copy.sequence) flying_change = change_between(*committed, flying);
+        replicating_change = last_change;
+    else if (committed && committed->sequence < copy.sequence)
+        replicating_change = change_between(*committed, replicating);
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
-    flown_at = context.now;
-    sent_flight = false;
+    replication_sent_at = context.now;
+    replication_sent = false;
     settle(context);
 }
 
-auto Partition::send_flight(Context& context) -> void {
+auto Partition::send_replication(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
-        if (follower.has >= flying.sequence) continue;
-        if (flying_change && !follower.lacks_base)
-            context.sends.push_back({identity, AppendChange{index, votes.decided, *flying_change}});
-        else context.sends.push_back({identity, Append{index, votes.decided, flying}});
+        if (follower.has >= replicating.sequence) continue;
+        if (replicating_change && !follower.lacks_base)
+            context.sends.push_back({identity, AppendChange{index, votes.decided, *replicating_change}});
+        else context.sends.push_back({identity, Append{index, votes.decided, replicating}});
     }
 }
 
 auto Partition::settle(Context& context) -> void {
     if (!in_flight || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
-    if (synced < flying.sequence) return;
-    if (!sent_flight) {
-        sent_flight = true;
-        flown_at = context.now;
-        send_flight(context);
+    if (synced < replicating.sequence) return;
+    if (!replication_sent) {
+        replication_sent = true;
+        replication_sent_at = context.now;
+        send_replication(context);
     }
-    if (!all_have(flying.sequence)) return;
+    if (!all_have(replicating.sequence)) return;
     if (!has_lease(context.self, context.now)) return;  // nothing is told without one; a grant that comes settles it
-    committed = flying;
+    committed = replicating;
     in_flight = false;
     std::erase_if(waiters, [&](auto const& waiter) {
         if (waiter.sequence > committed->sequence) return false;
@@ -74,7 +75,7 @@
             checked_outcome(*this, waiter.sequence, {waiter.origin, waiter.token, waiter.status, waiter.body, etag}));
         return true;
     });
-    if (copy.sequence > committed->sequence) fly(context);
+    if (copy.sequence > committed->sequence) replicate(context);
     take_queued(context);
 }
 
@@ -116,7 +117,7 @@
     if (!before) return;
     last_change = change_between(*before, copy);
     save_change(context, last_change, {});
-    if (!in_flight) fly(context);
+    if (!in_flight) replicate(context);
 }
 
 // A node that holds the newest document is told so, without the document.
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -47,7 +47,7 @@
 
 // One save at a time: claims that come meanwhile share the next sync.
 auto Partition::push_claims(Context& context) -> void {
-    if (claims.save_token != 0 || claims.fresh.empty()) return fly_claims(context);
+    if (claims.save_token != 0 || claims.fresh.empty()) return replicate_claims(context);
     std::string text;
     for (auto const& key : claims.fresh) text += write_claim(key, claims.held[key], context.now);
     claims.logged += claims.fresh.size();
@@ -71,74 +71,78 @@
     for (auto const& key : claims.saving) {
         if (auto const found = claims.held.find(key); found != claims.held.end())
             found->second.synced = !claims.fresh.contains(key);
-        claims.to_fly.insert(key);
+        claims.to_replicate.insert(key);
     }
     claims.saving.clear();
     push_claims(context);
-    fly_claims(context);
+    replicate_claims(context);
 }
 
 // The leader's disk first, then the followers': whatever an follower holds,
 // the leader holds too, so that a restart never gives one key to two tickets.
-auto Partition::fly_claims(Context& context) -> void {
-    if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
-    claims.flown.clear();
-    for (auto const& key : claims.to_fly)
-        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.flown.insert(key);
-    if (claims.flown.empty() && !claims.whole_needed) return;
-    for (auto const& key : claims.flown) claims.to_fly.erase(key);
-    claims.whole_flies = claims.whole_needed;
-    claims.flight.clear();
-    if (claims.whole_needed) claims.flight = claims.whole(context.now, true);
+auto Partition::replicate_claims(Context& context) -> void {
+    if (claims.replication_active || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
+    claims.replicating_claims.clear();
+    for (auto const& key : claims.to_replicate)
+        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
+    if (claims.replicating_claims.empty() && !claims.whole_needed) return;
+    for (auto const& key : claims.replicating_claims) claims.to_replicate.erase(key);
+    claims.replicating_whole = claims.whole_needed;
+    claims.replication_batch.clear();
+    if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
     else
-        for (auto const& key : claims.flown)
+        for (auto const& key : claims.replicating_claims)
             if (auto const found = claims.held.find(key); found != claims.held.end())
-                claims.flight += write_claim(key, found->second, context.now);
-    claims.flying = true;
-    claims.landed.clear();
-    ++claims.flight_number;
+                claims.replication_batch += write_claim(key, found->second, context.now);
+    claims.replication_active = true;
+    claims.replicated_at_followers.clear();
+    ++claims.replication_number;
     send_claims(context);
-    claims_flown(context);
+    claims_replicated(context);
 }
 
 auto Partition::send_claims(Context& context) -> void {
-    claims.flown_at = context.now;
+    claims.replication_sent_at = context.now;
     for (auto const& follower : votes.decided.followers)
-        if (!claims.landed.contains(follower))
+        if (!claims.replicated_at_followers.contains(follower))
             context.sends.push_back(
-                {follower, ClaimFlight{index, votes.decided, claims.life, claims.flight_number, claims.flight}});
+                {follower,
+                 ClaimReplication{
+                     index, votes.decided, claims.life, claims.replication_number, claims.replication_batch}});
 }
 
-auto Partition::on(Context& context, std::string const& from, ClaimFlight const& message) -> void {
+auto Partition::on(Context& context, std::string const& from, ClaimReplication const& message) -> void {
     learn(context, message.record);
     if (votes.decided != message.record || from != votes.decided.leader || !healthy) return;
     if (!votes.decided.has_follower(context.self) || votes.sealed >= votes.decided.term) return;
     leader_heard = context.now;
     auto const place = std::pair(message.life, message.number);
-    if (place < claims.newest_flight) return;
-    auto const reply = IdentifiedMessage{from, ClaimFlown{index, votes.decided.term, message.life, message.number}};
-    claims.newest_flight = place;
+    if (place < claims.newest_replication) return;
+    auto const reply =
+        IdentifiedMessage{from, ClaimReplicated{index, votes.decided.term, message.life, message.number}};
+    claims.newest_replication = place;
     claims.take(read_claims(message.claims), context.now, true);
     save_claims(context, message.claims, {reply});
 }
 
-auto Partition::on(Context& context, std::string const& from, ClaimFlown const& message) -> void {
+auto Partition::on(Context& context, std::string const& from, ClaimReplicated const& message) -> void {
     if (!is_leader(context.self) || message.term != votes.decided.term) return;
     if (!votes.decided.has_follower(from)) return;
-    if (!claims.flying || message.life != claims.life || message.number != claims.flight_number) return;
+    if (!claims.replication_active || message.life != claims.life || message.number != claims.replication_number)
+        return;
     if (votes.sealed >= votes.decided.term) return;
     progress[from].heard = context.now;
-    claims.landed.insert(from);
-    claims_flown(context);
+    claims.replicated_at_followers.insert(from);
+    claims_replicated(context);
 }
 
-auto Partition::claims_flown(Context& context) -> void {
-    if (claims.landed.size() < votes.decided.followers.size()) return;
-    claims.flying = false;
-    claims.flown.clear();
-    if (claims.whole_flies) claims.whole_needed = false;
+auto Partition::claims_replicated(Context& context) -> void {
+    if (claims.replicated_at_followers.size() < votes.decided.followers.size()) return;
+    claims.replication_active = false;
+    claims.replicating_claims.clear();
+    if (claims.replicating_whole) claims.whole_needed = false;
     settle_claims(context);
-    fly_claims(context);
+    replicate_claims(context);
 }
 
 auto Partition::settle_claims(Context& context) -> void {
@@ -156,19 +160,20 @@
     std::erase_if(claims.waiters, [&](auto const& waiter) { return context.now - waiter.since > claim_wait_limit; });
     if (!is_leader(context.self) || !healthy || disk_late(context.now)) return;
     if (!has_lease(context.self, context.now)) return;
-    if (claims.flying && context.now - claims.flown_at > times.resend_interval && votes.sealed < votes.decided.term)
+    if (claims.replication_active && context.now - claims.replication_sent_at > times.resend_interval &&
+        votes.sealed < votes.decided.term)
         send_claims(context);
     push_claims(context);
 }
 
 // A new record: the group may be new, so its followers are given all there is.
 auto Partition::claims_under_new_record(Context& context) -> void {
-    claims.newest_flight = {0, 0};
-    claims.flying = false;
+    claims.newest_replication = {0, 0};
+    claims.replication_active = false;
     if (!is_leader(context.self)) return claims.stand_back();
     claims.whole_needed = true;
-    for (auto const& key : claims.flown) claims.to_fly.insert(key);
-    claims.flown.clear();
+    for (auto const& key : claims.replicating_claims) claims.to_replicate.insert(key);
+    claims.replicating_claims.clear();
 }
 
 }  // namespace dockrock
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -57,8 +57,8 @@
 }
 
 auto ClaimTable::settled(std::string const& key) const -> bool {
-    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
-        !flown.contains(key);
+    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_replicate.contains(key) &&
+        !replicating_claims.contains(key);
 }
 
 auto ClaimTable::drop_fresh() -> void {
@@ -70,9 +70,9 @@
 auto ClaimTable::stand_back() -> void {
     drop_fresh();
     waiters.clear();
-    to_fly.clear();
-    flown.clear();
-    flying = false;
+    to_replicate.clear();
+    replicating_claims.clear();
+    replication_active = false;
     whole_needed = true;
 }
 
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -36,15 +36,15 @@
     std::set<std::string> fresh;   // not yet given to the disk
     std::set<std::string> saving;  // given, not yet synced
     std::uint64_t save_token = 0;
-    std::set<std::string> to_fly;  // synced here, not yet flown
-    std::set<std::string> flown;   // in the flight under way
-    std::set<std::string> landed;  // followers that hold it
-    bool flying = false;
-    bool whole_flies = false;
+    std::set<std::string> to_replicate;             // synced here, not yet flown
+    std::set<std::string> replicating_claims;       // in the flight under way
+    std::set<std::string> replicated_at_followers;  // followers that hold it
+    bool replication_active = false;
+    bool replicating_whole = false;
     bool whole_needed = true;  // an follower may lack some
-    std::uint64_t flight_number = 0;
-    Microseconds flown_at = 0;
-    std::string flight;
+    std::uint64_t replication_number = 0;
+    Microseconds replication_sent_at = 0;
+    std::string replication_batch;
     struct Waiter {
         std::string origin;
         std::uint64_t token = 0;
@@ -54,7 +54,7 @@
     };
     std::vector<Waiter> waiters;
     // follower
-    std::pair<std::uint64_t, std::uint64_t> newest_flight{0, 0};  // life, number
+    std::pair<std::uint64_t, std::uint64_t> newest_replication{0, 0};  // life, number
 
     auto load(std::string_view text, Microseconds now) -> void;
     auto take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void;
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -96,16 +96,16 @@
         last_change = CopyChange{copy.sequence, fresh, text_digest(copy.document), {}, 0, {}};
         copy.sequence = fresh;
         save_change(context, last_change, {});
-        fly(context);
+        replicate(context);
     } else if (!committed) {
-        fly(context);
+        replicate(context);
     }
 }
 
-auto Partition::resend_flight(Context& context) -> void {
-    if (!in_flight || !leased_lately(context.now) || context.now - flown_at <= times.resend_interval) return;
-    flown_at = context.now;
-    sent_flight = false;
+auto Partition::resend_replication(Context& context) -> void {
+    if (!in_flight || !leased_lately(context.now) || context.now - replication_sent_at <= times.resend_interval) return;
+    replication_sent_at = context.now;
+    replication_sent = false;
     settle(context);
 }
 
@@ -141,7 +141,7 @@
     if (leased) leader_since = context.now;
     if (votes.sealed < votes.decided.term) {
         if (leased && !in_flight) open_term(context);
-        resend_flight(context);
+        resend_replication(context);
     }
     take_queued(context);
     expire_waiters(context, outcome_unknown);
@@ -230,9 +230,9 @@
     auto& follower = progress[from];
     follower.heard = context.now;
     follower.has = std::max(follower.has, message.sequence);
-    if (message.lacks_base && in_flight && sent_flight && follower.has < flying.sequence) {
+    if (message.lacks_base && in_flight && replication_sent && follower.has < replicating.sequence) {
         follower.lacks_base = true;
-        context.sends.push_back({from, Append{index, votes.decided, flying}});
+        context.sends.push_back({from, Append{index, votes.decided, replicating}});
     }
     settle(context);
 }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -86,10 +86,10 @@
     Microseconds last_ask = 0;
     Microseconds leader_since = 0;
     bool in_flight = false;
-    bool sent_flight = false;
-    Copy flying;
-    std::optional<CopyChange> flying_change;  // on top of what was committed before; else the snapshot is sent
-    Microseconds flown_at = 0;
+    bool replication_sent = false;
+    Copy replicating;
+    std::optional<CopyChange> replicating_change;  // on top of what was committed before; else the snapshot is sent
+    Microseconds replication_sent_at = 0;
     struct FollowerProgress {
         Microseconds heard = 0;
         Sequence has;
@@ -175,8 +175,8 @@
     auto on(Context&, std::string const& from, CopyTaken const&) -> void;
     auto on(Context&, std::string const& from, SpareOffer const&) -> void;
     auto on(Context&, std::string const& from, SpareChange const&) -> void;
-    auto on(Context&, std::string const& from, ClaimFlight const&) -> void;
-    auto on(Context&, std::string const& from, ClaimFlown const&) -> void;
+    auto on(Context&, std::string const& from, ClaimReplication const&) -> void;
+    auto on(Context&, std::string const& from, ClaimReplicated const&) -> void;
     auto claim(Context& context, std::string const& origin, ClaimAsk const& ask) -> void;
     auto learn(Context& context, Record const& record) -> void;
 
@@ -196,7 +196,7 @@
     auto expire_waiters(Context& context, std::string_view reason) -> void;
     auto leader_tick(Context& context) -> void;
     auto open_term(Context& context) -> void;
-    auto resend_flight(Context& context) -> void;
+    auto resend_replication(Context& context) -> void;
     auto renew_group(Context& context, bool leased) -> void;
     auto follower_tick(Context& context) -> void;
     auto proposal_tick(Context& context) -> void;
@@ -205,8 +205,8 @@
     auto copies_taken(Context& context) -> void;
     auto pass_over(Context& context) -> void;
     auto send_proposal(Context& context) -> void;
-    auto fly(Context& context) -> void;
-    auto send_flight(Context& context) -> void;
+    auto replicate(Context& context) -> void;
+    auto send_replication(Context& context) -> void;
     auto sweep_spares(Context& context) -> void;
     auto offer_spare(Context& context, std::string const& spare, Appended const& answer) -> void;
     auto takes_offers(std::string const& from, std::string const& self, Record const& record) const -> bool;
@@ -223,9 +223,9 @@
     auto push_claims(Context& context) -> void;
     auto save_claims(Context& context, std::string text, std::vector<IdentifiedMessage> after) -> std::uint64_t;
     auto claims_saved(Context& context, std::uint64_t token) -> void;
-    auto fly_claims(Context& context) -> void;
+    auto replicate_claims(Context& context) -> void;
     auto send_claims(Context& context) -> void;
-    auto claims_flown(Context& context) -> void;
+    auto claims_replicated(Context& context) -> void;
     auto settle_claims(Context& context) -> void;
     auto tick_claims(Context& context) -> void;
     auto claims_under_new_record(Context& context) -> void;
--- a/source/control/kept_feed.hpp
+++ b/source/control/cache_feed.hpp
@@ -7,7 +7,7 @@
 
 namespace dockrock {
 
-struct KeptFeedTimes {
+struct CacheFeedTimes {
     Microseconds between_cores = 200 * one_millisecond;  // between a core node's questions to another
     Microseconds busy = 250 * one_millisecond;           // between a node's questions to its relay,
     Microseconds idle = one_second;                      // where it has had no requests for a while
@@ -15,22 +15,22 @@
 };
 
 // One part of a prompt that its source keeps from now on, or no longer.
-struct KeptChange {
+struct CacheChange {
     std::uint64_t part = 0;   // hash of the wall and the part
     std::size_t weights = 0;  // index into the batch's names of weights
-    bool kept = false;
-    auto operator==(KeptChange const&) const -> bool = default;
+    bool cached = false;
+    auto operator==(CacheChange const&) const -> bool = default;
 };
 inline constexpr auto weights_in_batch = std::size_t{26};
 
-auto write_changes(std::vector<KeptChange> const& changes) -> std::string;
-auto read_changes(std::string_view text) -> std::optional<std::vector<KeptChange>>;
+auto write_changes(std::vector<CacheChange> const& changes) -> std::string;
+auto read_changes(std::string_view text) -> std::optional<std::vector<CacheChange>>;
 
 // Which core node reads a source: one of the source's zone where there is one.
 // Two that disagree for a while both read it; batches may overlap.
 auto reader_of(std::string_view source, std::string_view area, std::vector<Member> const& cores) -> Member const*;
 
-struct KeptFeed {
+struct CacheFeed {
     // What this node knows of a source's events: everything before `next`.
     struct Cursor {
         std::string life;
@@ -40,7 +40,7 @@
     struct Entry {
         std::uint64_t position = 0;
         bool own = false;  // read by this node itself
-        KeptBatch batch;
+        CacheBatch batch;
     };
     // How far this node has read another node's log.
     struct Reading {
@@ -49,7 +49,7 @@
         Microseconds asked_at = 0;
     };
     struct Taken {
-        KeptBatch batch;
+        CacheBatch batch;
         bool gap = false;  // events before it never came here
     };
 
@@ -60,8 +60,8 @@
     std::map<std::string, Cursor> cursors;    // by source
     std::map<std::string, Reading> readings;  // by the identity of the node whose log it is
 
-    auto judge(KeptBatch const& batch) -> Verdict;
-    auto add(KeptBatch batch, bool own) -> void;
+    auto judge(CacheBatch const& batch) -> Verdict;
+    auto add(CacheBatch batch, bool own) -> void;
     auto answer(FeedAsk const& ask) const -> FeedAnswer;
     auto ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk;
     auto take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken>;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -62,7 +62,7 @@
     membership.self.knows_fleet = knows_fleet();
     blank_since = cores_since = now;
     load_relay.number = random.next() >> 12U;
-    kept_feed.id = random.next() | 1U;
+    cache_feed.id = random.next() | 1U;
 }
 
 auto Control::drain(Context& context, ControlOutput& output) -> void {
@@ -125,10 +125,10 @@
     publish(now, output);
     // The next question follows an answer that was held, or that brought news,
     // without waiting for a tick; answers given at once are paced by the ticks.
-    auto const* answer = std::get_if<NewsAnswer>(&message);
+    auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
-        auto const& item = news[static_cast<std::size_t>(answer->partition)];
-        if (output.news || next_is_held(item, answer->partition, now)) ask_news(now, output);
+        auto const& item = views[static_cast<std::size_t>(answer->partition)];
+        if (output.snapshot_changed || next_is_held(item, answer->partition, now)) request_updates(now, output);
     }
     return output;
 }
@@ -156,11 +156,11 @@
     share_load(now, output);
     ask_feed(now, output);
     publish(now, output);
-    ask_news(now, output);
-    ask_namings(now, output);
+    request_updates(now, output);
+    request_version_ages(now, output);
     tick_calls(now, output);
     tick_claims(now, output);
-    tick_anew(now, output);
+    tick_recovery(now, output);
     answer_overdue(now, output);
     return output;
 }
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -4,13 +4,13 @@
 #include <array>
 
 #include "consensus/partition.hpp"
-#include "control/kept_feed.hpp"
+#include "control/cache_feed.hpp"
 #include "control/load_relay.hpp"
 #include "control/pending.hpp"
 #include "membership/membership.hpp"
-#include "control/partition_news.hpp"
+#include "control/partition_view.hpp"
 #include "control/partition_watch.hpp"
-#include "control/version_namings.hpp"
+#include "control/version_history.hpp"
 
 namespace dockrock {
 
@@ -51,35 +51,35 @@
 struct ControlOutput {
     AddressedMessages sends;
     std::vector<Save> saves;
-    std::vector<CallDone> results;                              // for calls made at this node
-    std::vector<std::pair<std::string, BurdenDigest>> digests;  // from other admitting nodes
-    std::vector<std::pair<std::string, LoadSum>> load_sums;     // from the relay
-    std::vector<KeptFeed::Taken> kept;                          // changes of kept prompts, in order
+    std::vector<CallDone> results;                            // for calls made at this node
+    std::vector<std::pair<std::string, LoadDigest>> digests;  // from other admitting nodes
+    std::vector<std::pair<std::string, LoadSum>> load_sums;   // from the relay
+    std::vector<CacheFeed::Taken> cache_batches;              // changes of kept prompts, in order
     std::vector<ClaimDone> claims;
-    std::vector<NewsNote> notes;  // for the log
-    bool news = false;            // something a snapshot is made of changed
+    std::vector<UpdateNote> notes;  // for the log
+    bool snapshot_changed = false;  // something a snapshot is made of changed
 };
 
 struct Control {
     ControlSettings settings;
-    NewsTimes times;
+    UpdateTimes times;
     Random random;
     Membership membership;
     std::array<Partition, partition_count> partitions;
-    std::array<PartitionNews, partition_count> news;
+    std::array<PartitionView, partition_count> views;
     std::array<PartitionWatch, partition_count> watches;
-    struct WaitingAsk {
+    struct HeldRequest {
         std::string address;
-        NewsAsk ask;
+        UpdateRequest ask;
         Microseconds since = 0;
     };
-    std::vector<WaitingAsk> waiting_asks;
-    NewsCounts news_counts;
-    VersionNamings namings;
+    std::vector<HeldRequest> held_requests;
+    UpdateCounts update_counts;
+    VersionHistory version_history;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
-    std::optional<PendingAnew> anew;
-    bool forms_anew = false;  // this core node holds the copies to form from
+    std::optional<PendingRecovery> recovery;
+    bool recovers_fleet = false;  // this core node holds the copies to form from
     Microseconds blank_since = 0;
     std::vector<std::string> cores_seen;  // the last set of core nodes seen, while this node is blank
     Microseconds cores_since = 0;
@@ -87,13 +87,13 @@
     Microseconds last_forming = 0;
     LoadRelay load_relay;  // where this is a core node
     LoadRelayChoice load_choice;
-    Microseconds load_told_at = -3'600 * one_second;
-    KeptFeedTimes kept_times;
-    KeptFeed kept_feed;
+    Microseconds load_reported_at = -3'600 * one_second;
+    CacheFeedTimes cache_times;
+    CacheFeed cache_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
-    std::uint64_t news_bytes = 0;  // sent as news of documents, and what whole ones would have been
-    std::uint64_t news_bytes_whole = 0;
+    std::uint64_t update_bytes = 0;  // sent as news of documents, and what whole ones would have been
+    std::uint64_t update_bytes_whole = 0;
     bool resting = false;  // few wakeups: only what keeps this node in the fleet (design 12)
 
     auto start(
@@ -108,7 +108,7 @@
         -> ControlOutput;
     auto saved(Microseconds now, std::uint64_t token, bool ok) -> ControlOutput;
     auto call(Microseconds now, std::uint64_t local_token, Call const& asked) -> ControlOutput;
-    auto form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput;
+    auto recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput;
     auto claim(Microseconds now, std::uint64_t local_token, ClaimAsk ask) -> ControlOutput;
     // A partition's live text, as its reader or leader knows it now (design 8.4 and 11).
     auto live_read(int partition, Microseconds now, Microseconds asked_at, std::string const& text) -> ControlOutput;
@@ -123,14 +123,14 @@
     auto judge_load_relays() -> bool;
     auto nodes_placing() const -> std::int64_t;
     // This node's word of its load to its relay; what it holds of which relay's sums.
-    auto tell_load(
+    auto report_load(
         Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
         -> ControlOutput;
 
     // Whether this core node reads the events of a source, and what it read there (design 9.9).
     auto reads_source(std::string_view source, std::string_view area) const -> bool;
-    auto kept_read(KeptBatch batch) -> void;
-    auto kept_caught_up(KeptBatch const& batch) -> bool;
+    auto cache_read(CacheBatch batch) -> void;
+    auto cache_caught_up(CacheBatch const& batch) -> bool;
 
     auto hand_over(Microseconds now, bool& pending) -> ControlOutput;
     auto leave() -> ControlOutput;
@@ -138,7 +138,7 @@
         return partitions[static_cast<std::size_t>(partition)].has_lease(membership.self.identity, now);
     }
     auto proof_age(int partition, Microseconds now) const -> Microseconds {
-        return now - news[static_cast<std::size_t>(partition)].proven_at;
+        return now - views[static_cast<std::size_t>(partition)].proven_at;
     }
     auto knows_fleet() const -> bool;
     auto best_record(int partition) const -> Record const&;
@@ -160,22 +160,22 @@
     auto on(Arrival const& arrival, Probe const& probe) -> void;
     auto on(Arrival const& arrival, ProbeAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ProbeFor const& probe) -> void;
-    auto on(Arrival const& arrival, NewsAsk const& ask) -> void;
-    auto on(Arrival const& arrival, NewsAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, BurdenDigest const& digest) -> void;
-    auto on(Arrival const& arrival, LoadTold const& told) -> void;
+    auto on(Arrival const& arrival, UpdateRequest const& ask) -> void;
+    auto on(Arrival const& arrival, UpdateAnswer const& answer) -> void;
+    auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
+    auto on(Arrival const& arrival, LoadReport const& told) -> void;
     auto on(Arrival const& arrival, LoadShare const& share) -> void;
     auto on(Arrival const& arrival, LoadSum const& sum) -> void;
     auto on(Arrival const& arrival, FeedAsk const& ask) -> void;
     auto on(Arrival const& arrival, FeedAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, NamingAges const& told) -> void;
+    auto on(Arrival const& arrival, VersionAges const& told) -> void;
     auto on(Arrival const& arrival, CallForward const& forward) -> void;
     auto on(Arrival const& arrival, CallAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ClaimAsk const& ask) -> void;
     auto on(Arrival const& arrival, ClaimAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, AnewAsk const& ask) -> void;
-    auto on(Arrival const& arrival, AnewAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, FormAnew const& order) -> void;
+    auto on(Arrival const& arrival, RecoveryRequest const& ask) -> void;
+    auto on(Arrival const& arrival, RecoveryAnswer const& answer) -> void;
+    auto on(Arrival const& arrival, RecoverFleet const& order) -> void;
     auto on(Arrival const& arrival, Decided const& decided) -> void;
     // All others are the partitions' own: between a group's leader, its followers and voters.
     template <typename GroupMessage>
@@ -183,29 +183,31 @@
     auto drain(Context& context, ControlOutput& output) -> void;
     auto publish(Microseconds now, ControlOutput& output) -> void;
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
-    auto ask_news(Microseconds now, ControlOutput& output) -> void;
-    auto answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void;
-    auto next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool;
+    auto request_updates(Microseconds now, ControlOutput& output) -> void;
+    auto answer_update_request(Microseconds now, HeldRequest const& waiting, ControlOutput& output, bool may_wait)
+        -> void;
+    auto next_is_held(PartitionView const& item, int partition, Microseconds now) const -> bool;
     auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
     auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
-    auto take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
+    auto take_update(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
+    auto take_late(Microseconds now, UpdateAnswer const& answer, ControlOutput& output) -> void;
     auto take_answer(
-        Microseconds now, PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+        Microseconds now, PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
+        -> void;
+    auto take_copy(Microseconds now, PartitionView& item, UpdateAnswer const& answer, ControlOutput& output) -> void;
+    auto take_live(PartitionView& item, UpdateAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
-    auto take_copy(Microseconds now, PartitionNews& item, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_live(PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output) -> void;
-    auto learn_namings(int partition, Microseconds now) -> void;
-    auto ask_namings(Microseconds now, ControlOutput& output) -> void;
-    auto take_namings(Microseconds now, std::string const& address, NamingAges const& told, ControlOutput& output)
+    auto learn_version_times(int partition, Microseconds now) -> void;
+    auto request_version_ages(Microseconds now, ControlOutput& output) -> void;
+    auto take_version_ages(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
         -> void;
-    auto relays_news(int partition, Microseconds now) const -> bool;
+    auto relays_updates(int partition, Microseconds now) const -> bool;
     auto hold_limit(int partition) const -> Microseconds {
         return partition == configuration_partition ? times.hold_limit : times.service_hold_limit;
     }
-    auto ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool;
-    auto news_target(PartitionNews& item, int partition, Microseconds now) -> std::string;
-    auto other_target(PartitionNews const& item, std::string const& asked) -> std::string;
+    auto ask_overdue(PartitionView& item, int partition, Microseconds now, ControlOutput& output) -> bool;
+    auto update_target(PartitionView& item, int partition, Microseconds now) -> std::string;
+    auto other_target(PartitionView const& item, std::string const& asked) -> std::string;
     auto send_call(Microseconds now, std::uint64_t token, PendingCall& pending, ControlOutput& output) -> void;
     auto on_call_forward(Microseconds now, CallForward const& forward, ControlOutput& output) -> void;
     auto next_hop(PendingCall const& pending) -> std::string;
@@ -225,15 +227,15 @@
     auto begin_leaving(ControlOutput& output) -> void;
     auto has_duties() const -> bool;
     auto held_parts() const -> std::vector<HeldPartition>;
-    auto take_anew(std::vector<HeldPartition> const& told) -> void;
-    auto send_anew(Microseconds now, ControlOutput& output) -> void;
-    auto tick_anew(Microseconds now, ControlOutput& output) -> void;
-    auto end_anew(int status, std::string_view what, ControlOutput& output) -> void;
+    auto take_recovery(std::vector<HeldPartition> const& told) -> void;
+    auto send_recovery(Microseconds now, ControlOutput& output) -> void;
+    auto tick_recovery(Microseconds now, ControlOutput& output) -> void;
+    auto end_recovery(int status, std::string_view what, ControlOutput& output) -> void;
     auto old_voter_alive(std::vector<HeldPartition> const& held) const -> std::string;
     auto ask_feed(Microseconds now, ControlOutput& output) -> void;
     auto take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output) -> void;
     auto share_load(Microseconds now, ControlOutput& output) -> void;
-    auto on_form_anew(Microseconds now, FormAnew const& order, ControlOutput& output) -> void;
+    auto on_recover_fleet(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void;
 };
 
 }  // namespace dockrock
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -18,10 +18,10 @@
 // Heard by every node: it asks the leader of the record for news from now on.
 auto Control::on(Arrival const& arrival, Decided const& decided) -> void {
     if (!is_partition(decided.partition)) return;
-    auto& item = news[static_cast<std::size_t>(decided.partition)];
+    auto& item = views[static_cast<std::size_t>(decided.partition)];
     if (decided.record.term > item.record.term) {
         item.record = decided.record;
-        pass_by(item, false);  // the old leader's answer is not waited for
+        retire_request(item, false);  // the old leader's answer is not waited for
         item.unanswered = 0;
     }
     on<Decided>(arrival, decided);
@@ -39,22 +39,22 @@
     membership.on(probe, arrival.address, arrival.now, arrival.output.sends);
 }
 
-auto Control::on(Arrival const& arrival, NewsAsk const& ask) -> void {
+auto Control::on(Arrival const& arrival, UpdateRequest const& ask) -> void {
     if (!is_partition(ask.partition)) return;
-    answer_news(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
+    answer_update_request(arrival.now, {arrival.address, ask, arrival.now}, arrival.output, true);
 }
 
-auto Control::on(Arrival const& arrival, NewsAnswer const& answer) -> void {
+auto Control::on(Arrival const& arrival, UpdateAnswer const& answer) -> void {
     if (!is_partition(answer.partition)) return;
     load_choice.heard(arrival.from, arrival.now);
-    take_news(arrival.now, answer, arrival.output);
+    take_update(arrival.now, answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, BurdenDigest const& digest) -> void {
+auto Control::on(Arrival const& arrival, LoadDigest const& digest) -> void {
     arrival.output.digests.emplace_back(arrival.from, digest);
 }
 
-auto Control::on(Arrival const& arrival, LoadTold const& told) -> void {
+auto Control::on(Arrival const& arrival, LoadReport const& told) -> void {
     if (!settings.core) return;
     auto sum = load_relay.take(arrival.from, told, arrival.now);
     if (sum) arrival.output.sends.push_back({arrival.address, std::move(*sum)});
@@ -70,15 +70,15 @@
 }
 
 auto Control::on(Arrival const& arrival, FeedAsk const& ask) -> void {
-    if (settings.core) arrival.output.sends.push_back({arrival.address, kept_feed.answer(ask)});
+    if (settings.core) arrival.output.sends.push_back({arrival.address, cache_feed.answer(ask)});
 }
 
 auto Control::on(Arrival const& arrival, FeedAnswer const& answer) -> void {
     take_feed(arrival.now, arrival.from, answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, NamingAges const& told) -> void {
-    take_namings(arrival.now, arrival.address, told, arrival.output);
+auto Control::on(Arrival const& arrival, VersionAges const& told) -> void {
+    take_version_ages(arrival.now, arrival.address, told, arrival.output);
 }
 
 auto Control::on(Arrival const& arrival, CallForward const& forward) -> void {
@@ -100,17 +100,17 @@
     take_claim_answer(answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, AnewAsk const& ask) -> void {
-    arrival.output.sends.push_back({arrival.address, AnewAnswer{ask.token, held_parts()}});
+auto Control::on(Arrival const& arrival, RecoveryRequest const& ask) -> void {
+    arrival.output.sends.push_back({arrival.address, RecoveryAnswer{ask.token, held_parts()}});
 }
 
-auto Control::on(Arrival const& arrival, AnewAnswer const& answer) -> void {
-    if (!anew || anew->token != answer.token) return;
-    if (anew->silent.erase(arrival.address) > 0) take_anew(answer.partitions);
+auto Control::on(Arrival const& arrival, RecoveryAnswer const& answer) -> void {
+    if (!recovery || recovery->token != answer.token) return;
+    if (recovery->silent.erase(arrival.address) > 0) take_recovery(answer.partitions);
 }
 
-auto Control::on(Arrival const& arrival, FormAnew const& order) -> void {
-    on_form_anew(arrival.now, order, arrival.output);
+auto Control::on(Arrival const& arrival, RecoverFleet const& order) -> void {
+    on_recover_fleet(arrival.now, order, arrival.output);
 }
 
 }  // namespace dockrock
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -51,15 +51,15 @@
 auto Control::knows_fleet() const -> bool {
     for (auto const& partition : partitions)
         if (partition.votes.decided.term > 0) return true;
-    for (auto const& item : news)
+    for (auto const& item : views)
         if (item.record.term > 0) return true;
     return false;
 }
 
 auto Control::best_record(int partition) const -> Record const& {
     auto const index = static_cast<std::size_t>(partition);
-    return news[index].record.term > partitions[index].votes.decided.term ? news[index].record
-                                                                          : partitions[index].votes.decided;
+    return views[index].record.term > partitions[index].votes.decided.term ? views[index].record
+                                                                           : partitions[index].votes.decided;
 }
 
 // Where the number of core nodes is not told: as many as still have a majority
@@ -95,7 +95,7 @@
 auto Control::form(Microseconds now, Context& context) -> void {
     auto const& first = partitions[0].votes.decided;
     auto const blank = first.term == 0 && first.voters.empty();
-    if (blank && !forms_anew && fleet_heard_of(membership)) {
+    if (blank && !recovers_fleet && fleet_heard_of(membership)) {
         blank_since = cores_since = now;
         return;
     }
@@ -112,7 +112,7 @@
     for (auto& partition : partitions) {
         auto const& record = partition.votes.decided;
         auto const named = !record.leader.empty() || record.voters.empty();
-        if (named || partition.proposal || (record.term != 0 && !forms_anew)) continue;
+        if (named || partition.proposal || (record.term != 0 && !recovers_fleet)) continue;
         partition.propose(context, first_group(membership, partition));
     }
 }
@@ -166,7 +166,7 @@
     ControlOutput output;
     for (auto const& member : membership.alive_members(false))
         if (member.identity != membership.self.identity && !resting_nodes.contains(member.identity))
-            output.sends.push_back({member.control_address, BurdenDigest{number, body}});
+            output.sends.push_back({member.control_address, LoadDigest{number, body}});
     return output;
 }
 
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -20,15 +20,15 @@
     return load_choice.relayed;
 }
 
-auto Control::tell_load(
+auto Control::report_load(
     Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
     -> ControlOutput {
     ControlOutput output;
-    load_told_at = now;
+    load_reported_at = now;
     auto const cores = membership.alive_members(true);
     auto const* relay = load_choice.choose(membership.self, cores, now);
     if (relay == nullptr) return output;
-    auto told = LoadTold{number, held_of == relay->identity ? held : 0, std::move(body)};
+    auto told = LoadReport{number, held_of == relay->identity ? held : 0, std::move(body)};
     if (relay->identity != membership.self.identity) {
         output.sends.push_back({relay->control_address, std::move(told)});
     } else if (auto sum = load_relay.take(relay->identity, told, now)) {
--- a/source/control/control_anew.cpp
+++ b/source/control/control_recovery.cpp
@@ -17,7 +17,7 @@
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = best_record(static_cast<int>(index));
         auto const& own = partitions[index].copy;
-        auto const& told = news[index].copy;
+        auto const& told = views[index].copy;
         auto const& newest = own.sequence > told.sequence ? own : told;
         auto const voters = record.leader.empty() ? std::vector<std::string>() : record.voters;
         held.push_back({record.term, voters, newest.sequence, newest.document});
@@ -32,10 +32,10 @@
     return "";
 }
 
-auto Control::form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput {
+auto Control::recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
-    auto const busy = anew.has_value();
-    auto fresh = PendingAnew{random.next() | 1U, local_token, now, {}, held_parts(), 0};
+    auto const busy = recovery.has_value();
+    auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_parts(), 0};
     auto const refused = [&](std::string_view what) {
         auto const body = json::serialize(fields("error", std::string(what) + "; nothing was done"));
         output.results.push_back({"", local_token, 409, body, ""});
@@ -50,15 +50,15 @@
     for (auto const& member : membership.alive_members(false)) {
         if (member.identity == membership.self.identity) continue;
         fresh.silent.insert(member.control_address);
-        output.sends.push_back({member.control_address, AnewAsk{fresh.token}});
+        output.sends.push_back({member.control_address, RecoveryRequest{fresh.token}});
     }
-    anew = std::move(fresh);
+    recovery = std::move(fresh);
     return output;
 }
 
-auto Control::take_anew(std::vector<HeldPartition> const& told) -> void {
-    for (auto index = std::size_t{0}; index < std::min(told.size(), anew->best.size()); ++index) {
-        auto& best = anew->best[index];
+auto Control::take_recovery(std::vector<HeldPartition> const& told) -> void {
+    for (auto index = std::size_t{0}; index < std::min(told.size(), recovery->best.size()); ++index) {
+        auto& best = recovery->best[index];
         if (told[index].term > best.term) {
             best.term = told[index].term;
             if (!told[index].voters.empty()) best.voters = told[index].voters;
@@ -70,47 +70,49 @@
     }
 }
 
-auto Control::end_anew(int status, std::string_view what, ControlOutput& output) -> void {
+auto Control::end_recovery(int status, std::string_view what, ControlOutput& output) -> void {
     auto const* name = status == 200 ? "state" : "error";
-    output.results.push_back({"", anew->local_token, status, json::serialize(fields(name, std::string(what))), ""});
-    anew.reset();
+    output.results.push_back({"", recovery->local_token, status, json::serialize(fields(name, std::string(what))), ""});
+    recovery.reset();
 }
 
-auto Control::tick_anew(Microseconds now, ControlOutput& output) -> void {
-    if (!anew) return;
-    if (anew->term != 0) {
+auto Control::tick_recovery(Microseconds now, ControlOutput& output) -> void {
+    if (!recovery) return;
+    if (recovery->term != 0) {
         auto const& record = best_record(configuration_partition);
-        if (record.term > anew->term && !record.leader.empty()) return end_anew(200, "formed anew", output);
-        if (now - anew->sent_at > send_interval) send_anew(now, output);  // the last one may be lost
-        if (now - anew->since > forming_limit) end_anew(504, "not formed yet; look at the status, order again", output);
+        if (record.term > recovery->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
+        if (now - recovery->sent_at > send_interval) send_recovery(now, output);  // the last one may be lost
+        if (now - recovery->since > forming_limit)
+            end_recovery(504, "not formed yet; look at the status, order again", output);
         return;
     }
-    if (!anew->silent.empty() && now - anew->since < gather_limit) return;
-    if (auto const voter = old_voter_alive(anew->best); !voter.empty())
-        return end_anew(409, "core node " + voter + " of the fleet that was still answers; nothing was done", output);
+    if (!recovery->silent.empty() && now - recovery->since < gather_limit) return;
+    if (auto const voter = old_voter_alive(recovery->best); !voter.empty())
+        return end_recovery(
+            409, "core node " + voter + " of the fleet that was still answers; nothing was done", output);
     auto cores = membership.alive_members(true);
-    if (cores.empty()) return end_anew(409, "no core node is there; nothing was done", output);
+    if (cores.empty()) return end_recovery(409, "no core node is there; nothing was done", output);
     std::sort(cores.begin(), cores.end(), [](auto const& left, auto const& right) {
         return left.control_address < right.control_address;
     });
-    auto order = FormAnew{0, {}, anew->best};
-    for (auto const& partition : anew->best) order.term = std::max(order.term, partition.term + 1);
+    auto order = RecoverFleet{0, {}, recovery->best};
+    for (auto const& partition : recovery->best) order.term = std::max(order.term, partition.term + 1);
     for (auto const& core : cores) order.voters.push_back(core.identity);
-    anew->term = order.term;
-    anew->since = now;
-    anew->order = std::move(order);
-    anew->at = cores.front().control_address;
-    send_anew(now, output);
+    recovery->term = order.term;
+    recovery->since = now;
+    recovery->order = std::move(order);
+    recovery->at = cores.front().control_address;
+    send_recovery(now, output);
 }
 
-auto Control::send_anew(Microseconds now, ControlOutput& output) -> void {
-    anew->sent_at = now;
-    if (anew->at == membership.self.control_address) on_form_anew(now, anew->order, output);
-    else output.sends.push_back({anew->at, anew->order});
+auto Control::send_recovery(Microseconds now, ControlOutput& output) -> void {
+    recovery->sent_at = now;
+    if (recovery->at == membership.self.control_address) on_recover_fleet(now, recovery->order, output);
+    else output.sends.push_back({recovery->at, recovery->order});
 }
 
 // Only a core node that had no say in the fleet that was: its disk knows nothing better.
-auto Control::on_form_anew(Microseconds now, FormAnew const& order, ControlOutput& output) -> void {
+auto Control::on_recover_fleet(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void {
     auto const named = std::any_of(partitions.begin(), partitions.end(), [&](auto const& partition) {
         auto const& record = partition.votes.decided;
         auto const& self = membership.self.identity;
@@ -120,7 +122,7 @@
     auto const listed = std::find(order.voters.begin(), order.voters.end(), membership.self.identity);
     if (!settings.core || named || order.partitions.size() != partition_count || listed == order.voters.end()) return;
     if (!old_voter_alive(order.partitions).empty()) return;
-    forms_anew = true;
+    recovers_fleet = true;
     with_parts(now, output, [&](Context& context) {
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
--- a/source/control/pending.hpp
+++ b/source/control/pending.hpp
@@ -30,14 +30,14 @@
 };
 
 // Forming anew from what the core nodes that are left hold (design 5.9).
-struct PendingAnew {
+struct PendingRecovery {
     std::uint64_t token = 0;
     std::uint64_t local_token = 0;
     Microseconds since = 0;
     std::set<std::string> silent;  // addresses that have not answered yet
     std::vector<HeldPartition> best;
     std::uint64_t term = 0;  // once it is sent
-    FormAnew order;
+    RecoverFleet order;
     std::string at;  // the address that it went to
     Microseconds sent_at = 0;
 };
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -19,7 +19,7 @@
 }
 
 // Under a relaying form the document is one of services.
-auto compile_relayed(Copy const& copy, DocumentForm const& form) -> std::shared_ptr<Rules const> {
+auto compile_relayed(Copy const& copy, DocumentFormat const& form) -> std::shared_ptr<Rules const> {
     auto rules = std::make_shared<Rules>();
     rules->sequence = copy.sequence;
     Problems problems;
@@ -31,35 +31,36 @@
 
 // A version that this node's document does not name can't be ordered, so it makes no replica late:
 // one that others tell of may have been lost with its disks.
-auto named_here(VersionNamings const& namings, std::map<std::string, std::int64_t> const& targets)
-    -> std::map<std::string, NamedVersions> {
-    std::map<std::string, NamedVersions> named;
-    for (auto const& [model, versions] : namings.by_model)
+auto named_here(VersionHistory const& version_history, std::map<std::string, std::int64_t> const& targets)
+    -> std::map<std::string, VersionTimes> {
+    std::map<std::string, VersionTimes> named;
+    for (auto const& [model, versions] : version_history.by_model)
         if (auto const target = targets.find(model); target != targets.end())
             named[model] = versions.up_to(target->second);
     return named;
 }
 
 auto take_words(Snapshot& fresh, std::string const& text) -> void {
-    for (auto const& [replica, word] : read_words(text))
+    for (auto const& [replica, word] : read_weights_states(text))
         if (auto const found = fresh.replica_weights.find(replica); found != fresh.replica_weights.end())
-            apply_word(found->second, word);
+            apply_weights_state(found->second, word);
 }
 
 }  // namespace
 
-auto read_words(std::string const& text) -> WeightsWords {
+auto read_weights_states(std::string const& text) -> WeightsStates {
     auto const parsed = text.empty() ? std::nullopt : parse_json(text);
     if (!parsed) return {};
-    WeightsWords words;
+    WeightsStates words;
     Problems problems;
     read_json(*parsed, words, "", problems);
-    return problems.empty() ? words : WeightsWords();
+    return problems.empty() ? words : WeightsStates();
 }
 
-auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form) -> std::shared_ptr<Snapshot> {
+auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form)
+    -> std::shared_ptr<Snapshot> {
     auto fresh = std::make_shared<Snapshot>();
-    auto const& configuration = control.news[configuration_partition];
+    auto const& configuration = control.views[configuration_partition];
     fresh->document_bytes = configuration.copy.document.size();
     fresh->rules = old.rules && old.rules->sequence == configuration.copy.sequence ? old.rules
         : form == nullptr ? compile_rules(configuration.copy.sequence, configuration.copy.document)
@@ -71,15 +72,15 @@
     for (auto const& model : fresh->rules->checked.configuration.models)
         fresh->target_weights[model.name] = model.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        for (auto const& item : read_object(control.news[partition].copy.document)) {
+        for (auto const& item : read_object(control.views[partition].copy.document)) {
             if (item.value().is_string()) fresh->target_weights[item.key()] = std::string(item.value().as_string());
             if (item.value().is_int64()) fresh->target_versions[item.key()] = item.value().as_int64();
         }
-    fresh->named = named_here(control.namings, fresh->target_versions);
+    fresh->named = named_here(control.version_history, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        take_words(*fresh, control.news[partition].live);
-    auto const resting = read_object(control.news[resting_partition].copy.document);
+        take_words(*fresh, control.views[partition].live);
+    auto const resting = read_object(control.views[resting_partition].copy.document);
     if (auto const* names = resting.if_contains("resting"); names != nullptr && names->is_array())
         for (auto const& name : names->as_array())
             if (name.is_string()) fresh->resting.insert(std::string(name.as_string()));
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -5,7 +5,7 @@
 #include "control/replica_weights.hpp"
 #include "control/overdue_check.hpp"
 #include "sequence/rules.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
@@ -15,8 +15,8 @@
     ReplicaList list;
     std::map<std::string, std::string> target_weights;
     std::map<std::string, std::int64_t> target_versions;  // by model, where a version was named
-    std::map<std::string, NamedVersions> named;           // of these, since when this node or others knew
-    WeightsWords replica_weights;                         // of the replicas listed
+    std::map<std::string, VersionTimes> named;            // of these, since when this node or others knew
+    WeightsStates replica_weights;                        // of the replicas listed
     std::set<std::string> resting;
     OverdueCheck overdue_check;  // for the check of what is written
 
@@ -28,10 +28,10 @@
 using SnapshotPointer = std::shared_ptr<Snapshot const>;
 
 // What did not change since `old` is taken over from it unread.
-auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form = nullptr)
+auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form = nullptr)
     -> std::shared_ptr<Snapshot>;
 
 // An leader's words of its replicas; none where the text can't be read.
-auto read_words(std::string const& text) -> WeightsWords;
+auto read_weights_states(std::string const& text) -> WeightsStates;
 
 }  // namespace dockrock
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -3,7 +3,7 @@
 // the decisions, apart from who may order. docs/design.md section 11.
 #include <array>
 
-#include "control/named_versions.hpp"
+#include "control/version_times.hpp"
 
 namespace dockrock {
 
@@ -99,7 +99,7 @@
         Microseconds shown_at = 0;
     };
     RolloutTimes times;
-    NamedVersions named;
+    VersionTimes named;
     std::int64_t target = 0;
     std::uint64_t fence = 0;
     std::uint64_t stopped_fence = 0;  // a later holder was seen under this fence: no more orders
@@ -117,7 +117,7 @@
     // What a former leader told of a replica: an order may be under way there.
     auto adopt(ListedReplica const& replica, std::int64_t version, bool loading, Microseconds now) -> void;
     // The present word of each replica that the list does not tell.
-    auto words(std::string const& model, WeightsWords& into) const -> void;
+    auto words(std::string const& model, WeightsStates& into) const -> void;
     auto under_way() const -> bool;
     // Its weights are older than what has to serve everywhere soon: nothing new goes there.
     auto late(Course const& course, Microseconds now) const -> bool;
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_controller.cpp
@@ -1,4 +1,4 @@
-#include "control/weights_duty.hpp"
+#include "control/weights_controller.hpp"
 
 #include <algorithm>
 
@@ -38,8 +38,8 @@
         control.best_record(partition).term == fence;
 }
 
-auto WeightsDuty::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions {
-    DutyActions actions;
+auto WeightsController::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions {
+    ControllerActions actions;
     for (auto const& [model, versions] : snapshot.named) named[model].merge(versions);
     for (auto const& [model, version] : snapshot.target_versions) named[model].take(version, now);
     for (auto partition = 1; partition <= service_partitions; ++partition)
@@ -47,27 +47,29 @@
     return actions;
 }
 
-auto WeightsDuty::step_partition(
-    int partition, Control const& control, Snapshot const& snapshot, Microseconds now, DutyActions& actions) -> void {
+auto WeightsController::step_partition(
+    int partition, Control const& control, Snapshot const& snapshot, Microseconds now, ControllerActions& actions)
+    -> void {
     auto const& record = control.best_record(partition);
     auto const leader = record.term > 0 && record.leader == control.membership.self.identity;
     auto const leased = control.leads(partition, now);
-    auto const waited = tenures[static_cast<std::size_t>(partition)].step(record.term, leader, leased, wait, now);
+    auto const waited =
+        takeover_waits[static_cast<std::size_t>(partition)].step(record.term, leader, leased, wait, now);
     if (!leader) {
         held[static_cast<std::size_t>(partition)] = OrdersHeld::no;
         std::erase_if(rollouts, [&](auto const& item) { return item.first.first == partition; });
         return;
     }
     if (snapshot.list.replicas.empty()) return;  // not known yet: a former leader's words stay as they are
-    auto const& news = control.news[static_cast<std::size_t>(partition)];
+    auto const& view = control.views[static_cast<std::size_t>(partition)];
     auto const sure = control.proof_age(partition, now) <= one_second &&
         control.proof_age(configuration_partition, now) <= one_second;
     std::set<std::string> models;
     for (auto const& entry : snapshot.list.replicas)
         if (ordering_partition(entry) == partition)
             for (auto const& [model, version] : entry.weights) models.insert(model);
-    auto told = WeightsWords();
-    auto words = WeightsWords();
+    auto told = WeightsStates();
+    auto words = WeightsStates();
     auto read_told = false;
     auto behind = false;
     for (auto const& model : models) {
@@ -75,7 +77,7 @@
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
         if (fresh) {  // what a former leader had under way is asked after first
-            if (!read_told) told = read_words(news.live);
+            if (!read_told) told = read_weights_states(view.live);
             read_told = true;
             rollout.target = snapshot.target_version(model);
             for (auto const& replica : replicas)
@@ -105,18 +107,18 @@
     note_held(partition, behind ? reason : OrdersHeld::no, actions);
     if (!leased) return;
     auto text = json::serialize(write_json(words));
-    if (text != news.live && !(text == no_words && news.live.empty()))
+    if (text != view.live && !(text == no_words && view.live.empty()))
         actions.words.emplace_back(partition, std::move(text));
 }
 
-auto WeightsDuty::note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void {
+auto WeightsController::note_held(int partition, OrdersHeld reason, ControllerActions& actions) -> void {
     auto& known = held[static_cast<std::size_t>(partition)];
     if (known == reason) return;
     known = reason;
     actions.held.emplace_back(partition, reason);
 }
 
-auto WeightsDuty::figures(Microseconds now) const -> RolloutFigures {
+auto WeightsController::figures(Microseconds now) const -> RolloutFigures {
     RolloutFigures sum;
     for (auto const& [place, rollout] : rollouts) {
         auto const figures = rollout.figures(now);
@@ -127,13 +129,13 @@
     return sum;
 }
 
-auto WeightsDuty::order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void {
+auto WeightsController::order_ended(AddressedOrder const& order, OrderEnd end, Microseconds now) -> void {
     auto const found = rollouts.find({order.partition, order.model});
     if (found != rollouts.end()) found->second.order_ended(order.order.replica, end, now);
 }
 
-auto WeightsDuty::reported(
-    DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
+auto WeightsController::reported(
+    ReportRequest const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
     -> void {
     auto const found = rollouts.find({asked.partition, asked.model});
     if (found != rollouts.end()) found->second.reported(asked.replica, report, asked_at, now);
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -10,7 +10,7 @@
 #include <set>
 
 #include "control/control.hpp"
-#include "control/named_versions.hpp"
+#include "control/version_times.hpp"
 
 namespace dockrock {
 
@@ -18,7 +18,7 @@
     static constexpr Microseconds patience = 3 * one_second;
     Microseconds bound = 0;                             // named weights serve everywhere; none: no bound
     std::bitset<partition_count> heard;                 // service partitions whose leader was heard of in this life
-    std::map<std::string, NamedVersions> named;         // by model
+    std::map<std::string, VersionTimes> named;          // by model
     std::map<std::string, Microseconds> unheard_since;  // by model
     std::set<std::string> withheld;
     Microseconds judge_at = never;  // when the next replica's weights get late
@@ -28,7 +28,7 @@
     auto take_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
         for (auto const& [model, version] : targets) named[model].take(version, now);
     }
-    auto take_named(std::map<std::string, NamedVersions> const& known) -> void {
+    auto take_named(std::map<std::string, VersionTimes> const& known) -> void {
         for (auto const& [model, versions] : known) named[model].merge(versions);
     }
     auto late_from(std::string const& model, std::int64_t version) const -> Microseconds {
@@ -51,7 +51,7 @@
     }
     auto late(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= late_from(held); }
     // Replicas are judged when something was heard of them, and again at this moment.
-    auto plan_judging(WeightsWords const& replicas, Microseconds now) -> void {
+    auto plan_judging(WeightsStates const& replicas, Microseconds now) -> void {
         judge_at = never;
         for (auto const& [name, held] : replicas)
             if (auto const from = late_from(held); from > now) judge_at = std::min(judge_at, from);
@@ -60,7 +60,7 @@
     static auto heard_by(Control const& control) -> std::bitset<partition_count> {
         std::bitset<partition_count> partitions;
         for (auto index = std::size_t{1}; index <= service_partitions; ++index)
-            partitions[index] = control.news[index].proven_at > PartitionNews().proven_at;
+            partitions[index] = control.views[index].proven_at > PartitionView().proven_at;
         return partitions;
     }
     // True where it begins, to be told once.
@@ -69,7 +69,7 @@
         withheld.erase(replica);
         return false;
     }
-    auto forget_others(WeightsWords const& listed) -> void {
+    auto forget_others(WeightsStates const& listed) -> void {
         std::erase_if(withheld, [&](auto const& name) { return !listed.contains(name); });
     }
 };
--- a/source/process/measures.hpp
+++ b/source/process/latency_metrics.hpp
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <string>
 
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
@@ -22,19 +22,19 @@
     auto write(std::string& text, std::string const& name, std::string const& labels) const -> void;
 };
 
-struct Measures {
+struct LatencyMetrics {
     Histogram claim;     // from asking for a claim to its answer
     Histogram sync;      // one write and sync of the disk
     Histogram in_force;  // from asking to an acknowledged change, at the node that was asked
     struct Labelled {    // by kind and rank
         std::mutex lock;
         std::map<std::pair<std::string, int>, std::unique_ptr<Histogram>> by_label;
-        auto of(Ticket const& ticket) -> Histogram&;
+        auto of(InferenceRequest const& inference) -> Histogram&;
         auto write(std::string& text, std::string const& name) -> void;
     };
     Labelled first_pieces, whole_answers, waits;
 
-    auto waiting(Ticket const& ticket) -> Histogram& { return waits.of(ticket); }
+    auto waiting(InferenceRequest const& inference) -> Histogram& { return waits.of(inference); }
     auto write(std::string& text) -> void;
 };
 
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -42,17 +42,17 @@
         control.partitions[index].apply =
             index == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
     if (form != nullptr) relay_changes();
-    else take_scheduling_options(table.granting.options);
-    table.granting.burden.self = identity;
+    else take_scheduling_options(table.scheduler.options);
+    table.scheduler.load_table.self = identity;
     take_limits();
-    next_ticket = (static_cast<std::uint64_t>(device()) << 31U) + 1;
+    next_request_number = (static_cast<std::uint64_t>(device()) << 31U) + 1;
     proven_at = started_at - 3'600 * one_second;
     auto empty = std::make_shared<Snapshot>();
     empty->rules = std::make_shared<Rules>();
     snapshot = empty;
     control_work.start();
-    ticket_works = std::vector<WorkQueue>(static_cast<std::size_t>(settings.workers));
-    for (auto& work : ticket_works) work.start();
+    interpreter_queues = std::vector<WorkQueue>(static_cast<std::size_t>(settings.workers));
+    for (auto& work : interpreter_queues) work.start();
     auto const problem = transport.begin_reading(settings.fleet, [this](Frame&& frame) {
         auto message = read_message(frame.body);
         if (!message) {
@@ -61,7 +61,7 @@
         }
         in_control([this, sender = std::move(frame.sender), address = std::move(frame.sender_address),
                     message = std::move(*message)] {  // not the frame's text, which is as large once more
-            act_on(control.receive(clock_now(), sender, address, message));
+            apply_output(control.receive(clock_now(), sender, address, message));
         });
     });
     if (!problem.empty()) return leaf::new_error(StartFailure{"cannot hear other nodes: " + problem});
@@ -76,12 +76,12 @@
 
 // To a queue that nobody is at, where there is one.
 auto Node::interpret_in_turn(Work work) -> void {
-    for (auto& queue : ticket_works)
+    for (auto& queue : interpreter_queues)
         if (queue.idle()) return queue.put(std::move(work));
-    ticket_works[next_ticket_work++ % ticket_works.size()].put(std::move(work));
+    interpreter_queues[next_interpreter_queue++ % interpreter_queues.size()].put(std::move(work));
 }
 
-auto Node::act_on(ControlOutput output) -> void {
+auto Node::apply_output(ControlOutput output) -> void {
     auto const now = clock_now();
     for (auto const& send : output.sends) {
         auto const frame = Frame{
@@ -110,23 +110,23 @@
     }
     if (!output.digests.empty() || !output.load_sums.empty()) {
         auto const guard = std::lock_guard(table.lock);
-        auto& burden = table.granting.burden;
-        for (auto const& [node, digest] : output.digests) burden.take_digest(node, digest.number, digest.body, now);
+        auto& load_table = table.scheduler.load_table;
+        for (auto const& [node, digest] : output.digests) load_table.take_digest(node, digest.number, digest.body, now);
         for (auto const& [relay, sum] : output.load_sums)
-            burden.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
+            load_table.take_sum(relay, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
     }
-    if (!output.kept.empty()) take_feed(output.kept);
-    sight.take(control.news_counts, output.notes);
+    if (!output.cache_batches.empty()) take_feed(output.cache_batches);
+    update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
-    losses_bearable.look(control, now);
+    loss_tolerance.look(control, now);
     auto const first_heard = form != nullptr && weights_guard.heard != WeightsGuard::heard_by(control);
-    if (output.news || first_heard) publish_snapshot();
+    if (output.snapshot_changed || first_heard) publish_snapshot();
     take_proof();
 }
 
 // After what it proves: whoever reads the proof and then the snapshot holds at least what is proven.
-auto Node::take_proof() -> void { proven_at = control.news[configuration_partition].proven_at; }
+auto Node::take_proof() -> void { proven_at = control.views[configuration_partition].proven_at; }
 
 auto Node::publish_snapshot() -> void {
     auto const old = snapshot.load();
@@ -144,11 +144,11 @@
     auto const guard = std::lock_guard(table.lock);
     if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written here alone
     if (form != nullptr) take_services(*fresh);
-    table.granting.burden.take_list(fresh->list);
+    table.scheduler.load_table.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
-    table.granting.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
-    table.granting.store_address = fresh->list.store ? fresh->list.store->address : "";
-    match_locked(clock_now());
+    table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
+    table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
+    schedule_locked(clock_now());
 }
 
 }  // namespace dockrock
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -8,20 +8,20 @@
 #include <set>
 
 #include "base/memory_budget.hpp"
-#include "connection/losses.hpp"
+#include "connection/loss_tolerance.hpp"
 #include "connection/http_client.hpp"
 #include "connection/replica_pool.hpp"
 #include "process/counters.hpp"
-#include "process/form.hpp"
-#include "control/list_pace.hpp"
+#include "process/wire_protocol.hpp"
+#include "control/list_polling.hpp"
 #include "control/orders.hpp"
-#include "control/resting.hpp"
-#include "control/weights_duty.hpp"
+#include "control/resting_policy.hpp"
+#include "control/weights_controller.hpp"
 #include "control/weights_guard.hpp"
 #include "control/work_limits.hpp"
 #include "process/machine_limits.hpp"
-#include "process/measures.hpp"
-#include "process/news_sight.hpp"
+#include "process/latency_metrics.hpp"
+#include "process/update_metrics.hpp"
 #include "process/node_types.hpp"
 #include "process/settings.hpp"
 #include "process/snapshot_holder.hpp"
@@ -29,8 +29,8 @@
 #include "process/transport.hpp"
 #include "process/work_queue.hpp"
 #include "sequence/rules.hpp"
-#include "ticket/course.hpp"
-#include "ticket/entry_table.hpp"
+#include "ticket/request_lifecycle.hpp"
+#include "ticket/admission_table.hpp"
 
 namespace dockrock {
 
@@ -42,38 +42,39 @@
     std::string settings_file;                      // looked at now and then; may be empty
     MachineLimits limits;                           // read once, at the start
     MemoryBudget message_memory;                    // of messages held whole: requests, calls, failures
-    RelayForm const* form = nullptr;                // where this fleet relays requests: how its wire speaks
+    WireProtocol const* form = nullptr;             // where this fleet relays requests: how its wire speaks
     asio::io_context context;
     Storage storage;
     Transport transport;
     Control control;  // touched only inside control_work
     std::atomic<Microseconds> proven_at{0};
-    LossesBorne losses_bearable;  // looked at inside control_work
+    LossTolerance loss_tolerance;  // looked at inside control_work
     SnapshotHolder snapshot;
     Counters counters;
-    Measures measures;
-    NewsSight sight;
-    EntryTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
-    std::atomic<std::uint64_t> next_ticket{1};
+    LatencyMetrics latency_metrics;
+    UpdateMetrics update_metrics;
+    AdmissionTable<SystemPrimitives> table;  // lock order: table.lock, then nothing (design 14)
+    std::atomic<std::uint64_t> next_request_number{1};
     asio::signal_set stop_signals{context};
     asio::signal_set reload_signals{context};
     bool running = false;  // the start is over
     bool control_listens = false;
     bool stop_asked = false;  // by a signal during the start
     std::atomic<bool> stopping{false};
-    std::atomic<Microseconds> entry_ends{0};  // stopping: a request that is read later than this is refused; 0: none
-    std::atomic<bool> closing{false};         // stopping, and the notice is over: nothing new is taken
+    std::atomic<Microseconds> admission_ends{
+        0};                            // stopping: a request that is read later than this is refused; 0: none
+    std::atomic<bool> closing{false};  // stopping, and the notice is over: nothing new is taken
     std::atomic<bool> finished{false};
     std::atomic<bool> resting_now{false};
     std::atomic<bool> disk_loaded{false};  // the data folder's contents are known and written back
     std::atomic<bool> disk_failed{false};  // the last operation on it failed
     std::atomic<Microseconds> disk_busy_since{0};
     DiskState logged_disk = DiskState::well;  // inside control_work
-    std::atomic<int> open_tickets{0};
+    std::atomic<int> open_inferences{0};
     std::atomic<int> client_connections{0};  // at the door of clients
     std::uint64_t most_client_connections = no_limit;
     std::atomic<int> open_requests{0};  // read or being read, not yet answered
-    std::atomic<Microseconds> last_ticket{0};
+    std::atomic<Microseconds> last_request_at{0};
     std::atomic<bool> tick_waiting{false};
     Microseconds started_at = 0;
     std::map<std::uint64_t, std::function<void(ClaimDone)>> claim_waiters;  // inside control_work
@@ -81,24 +82,24 @@
     std::array<std::uint64_t, partition_count> logged_epochs{};             // these three inside control_work
     std::array<bool, partition_count> logged_owned{};
     bool load_relayed = false;                 // the table holds the same
-    Resting resting;                           // inside control_work
+    RestingPolicy resting;                     // inside control_work
     std::atomic<Microseconds> awake_until{0};  // a ticket woke this node
     Orders orders;                             // inside control_work
-    ListPace list_pace;                        // inside control_work; its bounds are set once
-    WeightsDuty weights_duty;                  // inside control_work
+    ListPolling list_polling;                  // inside control_work; its bounds are set once
+    WeightsController weights_controller;      // inside control_work
     std::atomic<bool> weights_under_way{false};
     std::mutex report_lock;
     std::map<std::string, ReplicaReport> reports;  // under report_lock
 
     using Work = WorkQueue::Work;
-    WorkQueue control_work;               // one at a time: the control machines
-    std::vector<WorkQueue> ticket_works;  // one for each worker: interpreting tickets
-    std::atomic<std::size_t> next_ticket_work{0};
+    WorkQueue control_work;                     // one at a time: the control machines
+    std::vector<WorkQueue> interpreter_queues;  // one for each worker: interpreting tickets
+    std::atomic<std::size_t> next_interpreter_queue{0};
     std::array<std::atomic<std::uint64_t>, partition_count> fences_sent{};  // the highest of each
     std::unique_ptr<tcp::acceptor> acceptor;                                // on accept_strand alone, once running
     asio::strand<asio::io_context::executor_type> accept_strand{context.get_executor()};
-    ReplicaPool pool;                                     // on the one thread of a relaying node
-    std::array<std::unique_ptr<tcp::acceptor>, 3> doors;  // by RelayDoor
+    ReplicaPool pool;                                               // on the one thread of a relaying node
+    std::array<std::unique_ptr<tcp::acceptor>, 3> relay_acceptors;  // by RelayListener
     std::vector<std::thread> threads;
     std::thread disk_thread;
     std::promise<void> disk_ended;  // set by the disk's thread
@@ -114,7 +115,7 @@
     auto run() -> void;
     auto interpret_in_turn(Work work) -> void;
     auto in_control(Work work) -> void { control_work.put(std::move(work)); }
-    auto act_on(ControlOutput output) -> void;
+    auto apply_output(ControlOutput output) -> void;
     auto publish_snapshot() -> void;
     auto take_scheduling_options(SchedulingOptions options) -> void;
     auto relay_changes() -> void;                              // how a relaying fleet's documents change
@@ -123,26 +124,26 @@
     auto take_replica_weights(Snapshot const& fresh) -> void;  // under table.lock
     auto tick_control() -> void;
     auto log_parts(Microseconds now) -> void;
-    auto tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
-    auto judge_load(Microseconds now) -> void;                                     // whether it goes through relays
+    auto report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
+    auto judge_load(Microseconds now) -> void;                                       // whether it goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
-    auto form_anew(std::function<void(CallDone)> done) -> void;
-    auto make_claim(Ticket const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
-    auto release(std::string const& replica, std::uint64_t ticket) -> void;
+    auto recover_fleet(std::function<void(CallDone)> done) -> void;
+    auto make_claim(InferenceRequest const& inference, bool release, std::function<void(ClaimDone)> done) -> void;
+    auto release(std::string const& replica, std::uint64_t request_number) -> void;
     auto try_ended(
-        std::string const& replica, Ticket const& ticket, TryEnd end, std::string const& reason, Microseconds sent_at)
-        -> void;
-    auto facts_for(std::string const& replica) const -> CourseFacts;
+        std::string const& replica, InferenceRequest const& inference, TryEnd end, std::string const& reason,
+        Microseconds sent_at) -> void;
+    auto lifecycle_facts(std::string const& replica) const -> LifecycleFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
     auto refusal_limit() const -> Microseconds { return refusal_limit_of(settings.bounds); }
     // Looked at before the snapshot that it stands for (design 8.3).
     auto may_refuse(Microseconds proven) const -> bool;
     auto note_refusal(int status, Sequence const& sequence) -> void;
     auto take_proof() -> void;
-    auto proof_limit() const -> Microseconds { return table.granting.proof_limit; }  // fixed at start
+    auto proof_limit() const -> Microseconds { return table.scheduler.proof_limit; }  // fixed at start
     auto proof_age(Microseconds now) const -> Microseconds { return now - proven_at.load(); }
     auto ready(Microseconds now) const -> bool;
-    auto match_locked(Microseconds now) -> void { table.match_locked(now, proof_age(now)); }
+    auto schedule_locked(Microseconds now) -> void { table.schedule_locked(now, proof_age(now)); }
 
     auto run_disk() -> void;
     // Waits a while for what is being written; a disk that hangs does not hold up the end.
@@ -173,12 +174,12 @@
     auto lease_checked(int partition, std::uint64_t fence) -> awaitable<std::optional<invariants::OrderFacts>>;
     // The last looks at what leaves; false where it breaks an invariant and is to be held back.
     auto refusal_leaves(int status) const -> bool;
-    auto request_leaves(Course const& course, CourseFacts const& facts) const -> bool;
-    auto last_look(Course const& course) const -> LastLook;  // the last checks once more
+    auto request_leaves(RequestLifecycle const& lifecycle, LifecycleFacts const& facts) const -> bool;
+    auto check_before_send(RequestLifecycle const& lifecycle) const -> SendCheck;  // the last checks once more
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
-    auto send_duty_order(DutyOrder order) -> awaitable<void>;
-    auto ask_duty_report(DutyReport asked) -> awaitable<void>;
+    auto send_addressed_order(AddressedOrder order) -> awaitable<void>;
+    auto request_report(ReportRequest asked) -> awaitable<void>;
     auto poll_metrics(std::string& text) const -> void;
     auto rest_loop() -> awaitable<void>;
     auto step_resting() -> void;
@@ -189,17 +190,17 @@
     auto listen_everywhere() -> std::optional<ListenFailure>;
     auto listen_at(std::string const& address, std::unique_ptr<tcp::acceptor>& into) -> std::optional<ListenFailure>;
     auto has_room_for_client() const -> bool;
-    auto relay_accept(tcp::acceptor& from, RelayDoor door) -> awaitable<void>;
+    auto relay_accept(tcp::acceptor& from, RelayListener door) -> awaitable<void>;
     auto sweep_loop() -> awaitable<void>;
     auto parts_manager() -> awaitable<void>;
-    auto sources_to_read(Snapshot const& current) const -> std::map<std::string, KeptSource>;
+    auto sources_to_read(Snapshot const& current) const -> std::map<std::string, CacheSource>;
     auto step_parts() -> void;
-    auto take_sources(std::map<std::string, KeptSource> sources) -> std::vector<std::pair<std::string, bool>>;
+    auto take_sources(std::map<std::string, CacheSource> sources) -> std::vector<std::pair<std::string, bool>>;
     auto parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void>;
     auto parts_address(std::string const& name) -> std::string;
-    auto parts_told(KeptBatch batch, bool restarted) -> void;
-    auto take_kept(KeptBatch const& batch, bool forget) -> void;
-    auto take_feed(std::vector<KeptFeed::Taken> const& told) -> void;
+    auto parts_reported(CacheBatch batch, bool restarted) -> void;
+    auto take_cache_batch(CacheBatch const& batch, bool forget) -> void;
+    auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
     auto stop_politely() -> awaitable<void>;
@@ -214,9 +215,9 @@
 
     std::filesystem::file_time_type settings_time;  // in tick_loop alone, once running
     Microseconds settings_looked = 0;
-    std::set<std::string> report_loops;            // on the context's strand of report_manager
-    std::map<std::string, KeptSource> parts_read;  // under loops_lock: the sources that this node reads
-    std::set<std::string> parts_missed;            // under loops_lock: sources with a gap in what came
+    std::set<std::string> report_loops;             // on the context's strand of report_manager
+    std::map<std::string, CacheSource> parts_read;  // under loops_lock: the sources that this node reads
+    std::set<std::string> parts_missed;             // under loops_lock: sources with a gap in what came
     std::mutex loops_lock;
 };
 
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -60,7 +60,7 @@
     disk_busy_since = began;
     auto const good = work();
     disk_busy_since = 0;
-    measures.sync.add(clock_now() - began);
+    latency_metrics.sync.add(clock_now() - began);
     if (!good) ++counters.disk_failures;
     disk_failed = !good;
     return good;
@@ -122,7 +122,7 @@
         Level::information, "disk-taken-up",
         fields("identity", holding.identity, "incarnation", holding.incarnation, "had_state", holding.had_state));
     auto const guard = std::lock_guard(table.lock);
-    table.granting.burden.self = holding.identity;
+    table.scheduler.load_table.self = holding.identity;
 }
 
 auto Node::next_saves() -> std::vector<Save> {
@@ -135,7 +135,7 @@
     std::vector<std::uint64_t> tokens;
     for (auto const& save : batch) tokens.push_back(save.token);
     in_control([this, good, tokens = std::move(tokens)] {
-        for (auto token : tokens) act_on(control.saved(clock_now(), token, good));
+        for (auto token : tokens) apply_output(control.saved(clock_now(), token, good));
     });
 }
 
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -6,17 +6,17 @@
 namespace dockrock {
 
 // Holds the table's lock on entry; it is let go before the control side is entered.
-auto Node::tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
-    auto& burden = table.granting.burden;
+auto Node::report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
+    auto& load_table = table.scheduler.load_table;
     auto const number = static_cast<std::uint64_t>(now);
-    auto const relayed = burden.relayed;
-    auto body = relayed ? burden.make_told(number, now) : burden.make_digest(now);
-    auto relay = burden.summed.relay;
-    auto const held = burden.summed.number;
+    auto const relayed = load_table.relayed;
+    auto body = relayed ? load_table.make_load_report(number, now) : load_table.make_digest(now);
+    auto relay = load_table.summed.relay;
+    auto const held = load_table.summed.number;
     guard.unlock();
     in_control([this, now, number, relayed, body = std::move(body), relay = std::move(relay), held] {
-        if (relayed) act_on(control.tell_load(now, number, body, relay, held));
-        else act_on(control.digest(body, number, snapshot.load()->resting));
+        if (relayed) apply_output(control.report_load(now, number, body, relay, held));
+        else apply_output(control.digest(body, number, snapshot.load()->resting));
     });
 }
 
@@ -27,15 +27,15 @@
     auto const nodes = control.nodes_placing();
     {
         auto const guard = std::lock_guard(table.lock);
-        table.granting.burden.relayed = relayed;
-        table.granting.burden.fleet_nodes = nodes;
+        table.scheduler.load_table.relayed = relayed;
+        table.scheduler.load_table.fleet_nodes = nodes;
     }
     if (relayed == load_relayed) return;
     load_relayed = relayed;
     write_log(Level::information, "load-relays", fields("used", relayed, "nodes", nodes));
     auto const number = static_cast<std::uint64_t>(now);
-    if (relayed) act_on(control.digest("{}", number, snapshot.load()->resting));
-    else act_on(control.tell_load(now, number, write_loads({}), "", 0));
+    if (relayed) apply_output(control.digest("{}", number, snapshot.load()->resting));
+    else apply_output(control.report_load(now, number, write_loads({}), "", 0));
 }
 
 }  // namespace dockrock
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -18,9 +18,9 @@
 constexpr Microseconds members_met = 3 * one_second / 2;         // a node that just started knows few others
 constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between sources
 
-auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> KeptBatch {
-    auto batch = KeptBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
-    std::vector<KeptChange> changes;
+auto batch_of(std::string const& name, bool store, std::uint64_t since, CacheEvents const& told) -> CacheBatch {
+    auto batch = CacheBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
+    std::vector<CacheChange> changes;
     for (auto const& event : told.events) {
         auto const salt = read_salt(event.salt);
         if (!salt) continue;
@@ -30,7 +30,7 @@
             place = batch.weights.insert(place, salt->second);
         }
         auto const weights = static_cast<std::size_t>(place - batch.weights.begin());
-        changes.push_back({part_hash(salt->first, event.part), weights, event.kept});
+        changes.push_back({part_hash(salt->first, event.part), weights, event.cached});
     }
     batch.changes = write_changes(changes);
     return batch;
@@ -39,8 +39,8 @@
 }  // namespace
 
 // Who is read here: everyone by each node that takes requests, or by core nodes in shares.
-auto Node::sources_to_read(Snapshot const& current) const -> std::map<std::string, KeptSource> {
-    std::map<std::string, KeptSource> all;
+auto Node::sources_to_read(Snapshot const& current) const -> std::map<std::string, CacheSource> {
+    std::map<std::string, CacheSource> all;
     for (auto const& entry : current.list.replicas) all[entry.name] = {entry.address, entry.area, false};
     if (current.rules->services)
         for (auto const& service : current.rules->services->document.services)
@@ -52,19 +52,19 @@
     auto all = sources_to_read(*snapshot.load());
     std::set<std::string> names;
     for (auto const& [name, source] : all) names.insert(name);
-    control.kept_feed.forget_except(names);
+    control.cache_feed.forget_except(names);
     auto const met = clock_now() - started_at > members_met;
     auto const direct = met && !load_relayed && !settings.front_address.empty();
     std::erase_if(
         all, [&](auto const& item) { return !direct && !control.reads_source(item.first, item.second.area); });
     for (auto const& [name, store] : take_sources(std::move(all))) {  // a loop starts at once, and takes the lock
-        auto const& cursor = control.kept_feed.cursors[name];
+        auto const& cursor = control.cache_feed.cursors[name];
         spawn_connection(counters, context.get_executor(), parts_loop(name, store, cursor.next, cursor.life));
     }
 }
 
 // The sources read from now on; those that no loop reads yet are told.
-auto Node::take_sources(std::map<std::string, KeptSource> sources) -> std::vector<std::pair<std::string, bool>> {
+auto Node::take_sources(std::map<std::string, CacheSource> sources) -> std::vector<std::pair<std::string, bool>> {
     std::vector<std::pair<std::string, bool>> fresh;
     auto const guard = std::lock_guard(loops_lock);
     parts_read = std::move(sources);
@@ -90,15 +90,15 @@
     return found == parts_read.end() ? std::string() : found->second.address;
 }
 
-auto Node::take_kept(KeptBatch const& batch, bool forget) -> void {
+auto Node::take_cache_batch(CacheBatch const& batch, bool forget) -> void {
     auto const changes = read_changes(batch.changes);
     auto const guard = std::lock_guard(table.lock);
-    auto& burden = table.granting.burden;
-    auto const found = batch.store ? table.granting.stores.find(batch.source) : table.granting.stores.end();
-    if (!changes || (batch.store && found == table.granting.stores.end())) return;
+    auto& load_table = table.scheduler.load_table;
+    auto const found = batch.store ? table.scheduler.stores.find(batch.source) : table.scheduler.stores.end();
+    if (!changes || (batch.store && found == table.scheduler.stores.end())) return;
     if (batch.store) found->second.up = !batch.life.empty();
     if (forget && batch.store) found->second.parts.clear();
-    else if (forget) burden.forget_parts(batch.source);
+    else if (forget) load_table.forget_parts(batch.source);
     if (forget) ++counters.part_gaps;
     std::vector<std::uint64_t> marks;
     for (auto const& weights : batch.weights) marks.push_back(hash_text(weights));
@@ -106,16 +106,16 @@
         ++counters.part_events;
         if (change.weights >= marks.size()) continue;
         auto const mark = marks[change.weights];
-        if (!batch.store) burden.take_part(batch.source, change.part, mark, change.kept);
-        else if (change.kept) found->second.parts.insert(change.part ^ mark);
+        if (!batch.store) load_table.take_part(batch.source, change.part, mark, change.cached);
+        else if (change.cached) found->second.parts.insert(change.part ^ mark);
         else found->second.parts.erase(change.part ^ mark);
     }
 }
 
 // What was read of a source: for this node, or for all where it is a core node.
-auto Node::parts_told(KeptBatch batch, bool restarted) -> void {
-    if (!settings.front_address.empty()) take_kept(batch, batch.anew || restarted);
-    in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
+auto Node::parts_reported(CacheBatch batch, bool restarted) -> void {
+    if (!settings.front_address.empty()) take_cache_batch(batch, batch.anew || restarted);
+    in_control([this, batch = std::move(batch)]() mutable { control.cache_read(std::move(batch)); });
 }
 
 auto Node::parts_loop(std::string name, bool store, std::uint64_t since, std::string life) -> awaitable<void> {
@@ -131,7 +131,7 @@
         if (!told && store) {  // a batch without a life: the store does not answer
             since = 0;
             life.clear();
-            parts_told(KeptBatch{name, store, {}, 0, 0, true, {}, {}}, true);
+            parts_reported(CacheBatch{name, store, {}, 0, 0, true, {}, {}}, true);
         }
         if (!told) {
             co_await pause(store ? one_second / 2 : one_second);
@@ -141,11 +141,11 @@
         if (restarted && since != 0) {  // its events begin anew
             since = 0;
             life = told->life;
-            parts_told(batch_of(name, store, 0, KeptEvents{told->life, 0, true, {}}), true);
+            parts_reported(batch_of(name, store, 0, CacheEvents{told->life, 0, true, {}}), true);
             continue;
         }
         if (told->next != since || told->gap || life.empty())
-            parts_told(batch_of(name, store, since, *told), restarted);
+            parts_reported(batch_of(name, store, since, *told), restarted);
         since = told->next;
         life = told->life;
         co_await pause(settings.front_address.empty() ? shared_interval : parts_interval);
@@ -167,7 +167,7 @@
         auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
         if (!told) continue;
         in_control([this, batch = batch_of(name, source->second.store, 0, *told)] {
-            if (control.kept_caught_up(batch)) take_kept(batch, true);
+            if (control.cache_caught_up(batch)) take_cache_batch(batch, true);
         });
     }
 }
@@ -179,9 +179,9 @@
 }
 
 // What came through the relay.
-auto Node::take_feed(std::vector<KeptFeed::Taken> const& told) -> void {
+auto Node::take_feed(std::vector<CacheFeed::Taken> const& told) -> void {
     for (auto const& [batch, gap] : told) {
-        take_kept(batch, gap || batch.anew);
+        take_cache_batch(batch, gap || batch.anew);
         if (!gap || batch.anew) continue;
         auto const guard = std::lock_guard(loops_lock);
         parts_missed.insert(batch.source);
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -45,7 +45,8 @@
         }
         ++counters.list_reads;
         if (!same) last_good = answer.body;
-        in_control([this, asked_at, text = answer.body] { act_on(control.list_read(clock_now(), asked_at, text)); });
+        in_control(
+            [this, asked_at, text = answer.body] { apply_output(control.list_read(clock_now(), asked_at, text)); });
     }
 }
 
@@ -99,13 +100,13 @@
                 reports[name] = report;
             }
             auto const guard = std::lock_guard(table.lock);
-            table.granting.burden.take_report(name, report, asked_at);
-            if (table.granting.waiting_count() > 0) match_locked(clock_now());
+            table.scheduler.load_table.take_report(name, report, asked_at);
+            if (table.scheduler.waiting_count() > 0) schedule_locked(clock_now());
         } else if (answer.end == CallEnd::not_sent) {
             auto const guard = std::lock_guard(table.lock);
-            table.granting.burden.report_failed(name, clock_now());
+            table.scheduler.load_table.report_failed(name, clock_now());
         }
-        auto const busy = clock_now() - last_ticket < 10 * one_second;
+        auto const busy = clock_now() - last_request_at < 10 * one_second;
         auto const idle_pause = settings.data_folder.empty() ? 2'000 : 1'000;  // the core follows roll-outs
         co_await pause((resting_now ? 5'000 : busy ? 250 : idle_pause) * one_millisecond);
     }
--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -6,7 +6,7 @@
 namespace dockrock {
 
 namespace {
-constexpr Microseconds awake_after_ticket = 10 * one_second;
+constexpr Microseconds awake_after_request = 10 * one_second;
 constexpr Microseconds unheard_limit = 5 * one_second;
 }  // namespace
 
@@ -25,11 +25,11 @@
 
 // A ticket came to a resting node: it is served at once, on fresh news.
 auto Node::wake() -> void {
-    awake_until = clock_now() + awake_after_ticket;
+    awake_until = clock_now() + awake_after_request;
     resting_now = false;
     in_control([this] {
         control.resting = false;
-        for (auto& item : control.news) item.ask_token = 0;
+        for (auto& item : control.views) item.ask_token = 0;
         tick_control();
     });
 }
@@ -40,14 +40,14 @@
         resting.low_since = 0;
         return;
     }
-    std::vector<RestingNode> edges;
+    std::vector<EdgeTraffic> edges;
     {
         auto const guard = std::lock_guard(table.lock);
         for (auto const& member : control.membership.alive_members(false)) {
             if (member.core) continue;
             auto rate = 0.0;
-            auto const found = table.granting.burden.others.find(member.identity);
-            if (found != table.granting.burden.others.end() && now - found->second.at < 1'500 * one_millisecond)
+            auto const found = table.scheduler.load_table.others.find(member.identity);
+            if (found != table.scheduler.load_table.others.end() && now - found->second.at < 1'500 * one_millisecond)
                 for (auto const& [name, item] : found->second.replicas) rate += static_cast<double>(item.recent);
             rate += control.load_relay.rate_of(member.identity, now);
             edges.push_back({member.identity, member.area, rate});
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -18,7 +18,7 @@
 
 auto Node::tick_control() -> void {
     auto const now = clock_now();
-    act_on(control.tick(now));
+    apply_output(control.tick(now));
     log_parts(now);
     log_disk(now);
     judge_resting(now);
@@ -52,7 +52,7 @@
 auto Node::tick_milliseconds() const -> int {
     if (resting_now) return 250;
     auto const relays_load = load_relayed && !settings.data_folder.empty();
-    if (clock_now() - last_ticket < 2 * one_second || stopping || relays_load) return 25;
+    if (clock_now() - last_request_at < 2 * one_second || stopping || relays_load) return 25;
     return settings.data_folder.empty() ? 100 : 50;
 }
 
@@ -68,13 +68,13 @@
         look_at_settings(now);
         auto guard = std::unique_lock(table.lock);
         if (now >= weights_guard.judge_at) take_replica_weights(*snapshot.load());
-        if (table.granting.waiting_count() > 0) match_locked(now);
-        auto const& options = table.granting.options;
-        auto const interval = table.granting.burden.relayed ? options.relayed_interval : options.digest_interval;
-        auto const due = now - last_digest >= interval && now - last_ticket < 12 * one_second;
+        if (table.scheduler.waiting_count() > 0) schedule_locked(now);
+        auto const& options = table.scheduler.options;
+        auto const interval = table.scheduler.load_table.relayed ? options.relayed_interval : options.digest_interval;
+        auto const due = now - last_digest >= interval && now - last_request_at < 12 * one_second;
         if (!due) continue;
         last_digest = now;
-        tell_load(now, std::move(guard));
+        report_load(now, std::move(guard));
     }
 }
 
@@ -84,7 +84,7 @@
     in_control([this, call = std::move(call), done = std::move(done)] {
         auto const token = control.random.next() | 1U;
         call_waiters[token] = done;
-        act_on(control.call(clock_now(), token, call));
+        apply_output(control.call(clock_now(), token, call));
     });
 }
 
@@ -94,23 +94,23 @@
         !current->list.replicas.empty();
 }
 
-auto Node::form_anew(std::function<void(CallDone)> done) -> void {
+auto Node::recover_fleet(std::function<void(CallDone)> done) -> void {
     in_control([this, done = std::move(done)] {
         auto const token = control.random.next() | 1U;
         call_waiters[token] = done;
         write_log(Level::warning, "form-anew-ordered", {});
-        act_on(control.form_anew(clock_now(), token));
+        apply_output(control.recover_fleet(clock_now(), token));
     });
 }
 
-auto Node::make_claim(Ticket const& ticket, bool release, std::function<void(ClaimDone)> done) -> void {
-    auto const partition = partition_of_service(ticket.body.model);
-    auto ask = ClaimAsk{partition, 0, claim_key(ticket), "", release};
-    in_control([this, ask = std::move(ask), number = ticket.number, done = std::move(done)]() mutable {
-        ask.ticket = claim_ticket(control.membership.self.identity, number);
+auto Node::make_claim(InferenceRequest const& inference, bool release, std::function<void(ClaimDone)> done) -> void {
+    auto const partition = partition_of_service(inference.body.model);
+    auto ask = ClaimAsk{partition, 0, claim_key(inference), "", release};
+    in_control([this, ask = std::move(ask), number = inference.number, done = std::move(done)]() mutable {
+        ask.ticket = claim_owner(control.membership.self.identity, number);
         auto const token = control.random.next() | 1U;
         if (done) claim_waiters[token] = std::move(done);
-        act_on(control.claim(clock_now(), token, ask));
+        apply_output(control.claim(clock_now(), token, ask));
     });
 }
 
@@ -123,9 +123,10 @@
     spawn_essential(asio::make_strand(context), order_loop());
     spawn_essential(asio::make_strand(context), rest_loop());
     spawn_essential(accept_strand, accept_loop());
-    for (auto door = std::size_t{0}; door < doors.size(); ++door)
-        if (doors[door])
-            spawn_essential(context.get_executor(), relay_accept(*doors[door], static_cast<RelayDoor>(door)));
+    for (auto door = std::size_t{0}; door < relay_acceptors.size(); ++door)
+        if (relay_acceptors[door])
+            spawn_essential(
+                context.get_executor(), relay_accept(*relay_acceptors[door], static_cast<RelayListener>(door)));
     if (form != nullptr) {
         spawn_essential(context.get_executor(), sweep_loop());
         spawn_essential(context.get_executor(), parts_manager());
@@ -142,35 +143,36 @@
 // Not ready, duties handed over, streams finished, then out (design 13).
 auto Node::stop_politely() -> awaitable<void> {
     set_process_phase(ProcessPhase::stopping);
-    write_log(Level::information, "stopping", fields("open_tickets", open_tickets.load()));
+    write_log(Level::information, "stopping", fields("open_tickets", open_inferences.load()));
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     auto const limit = clock_now() + settings.stop_limit_milliseconds * one_millisecond;
     auto duties = std::make_shared<std::atomic<bool>>(true);
     // Not ready for a while before the door shuts: whoever sends clients looks now and then.
     auto const notice = std::min(limit, clock_now() + settings.stop_notice_milliseconds * one_millisecond);
     auto const handing_limit = std::min(limit, clock_now() + 3 * one_second);
-    entry_ends = stop_entry_end(clock_now(), limit);
+    admission_ends = stop_admission_end(clock_now(), limit);
     while (clock_now() < limit) {
         if (duties->load()) {
             in_control([this, duties, handing_limit] {
                 auto pending = false;
-                if (clock_now() < handing_limit) act_on(control.hand_over(clock_now(), pending));
+                if (clock_now() < handing_limit) apply_output(control.hand_over(clock_now(), pending));
                 *duties = pending;
             });
         }
         timer.expires_after(std::chrono::milliseconds(50));
         co_await timer.async_wait(use_tuple);
         if (clock_now() > notice) closing = true;
-        if (!duties->load() && open_tickets == 0 && closing) break;
+        if (!duties->load() && open_inferences == 0 && closing) break;
     }
     closing = true;
-    if (open_tickets > 0) write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_tickets.load()));
-    in_control([this] { act_on(control.leave()); });
+    if (open_inferences > 0)
+        write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_inferences.load()));
+    in_control([this] { apply_output(control.leave()); });
     // The door is shut first; whoever was inside is still answered.
     asio::post(accept_strand, [this] {
         boost::system::error_code ignored;
         acceptor->close(ignored);
-        for (auto& door : doors)
+        for (auto& door : relay_acceptors)
             if (door) door->close(ignored);
     });
     auto quiet = 0;
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -4,14 +4,14 @@
 
 namespace dockrock {
 
-auto Node::release(std::string const& replica, std::uint64_t ticket) -> void {
-    table.with([&](Granting& granting) { granting.burden.release(replica, ticket); });
+auto Node::release(std::string const& replica, std::uint64_t request_number) -> void {
+    table.with([&](Scheduler& scheduler) { scheduler.load_table.release(replica, request_number); });
 }
 
 // For the last checks. They hold what matching held: a try that matching allows
 // and the checks refuse would go round without end (design 8.3).
-auto Node::facts_for(std::string const& replica) const -> CourseFacts {
-    auto facts = CourseFacts();
+auto Node::lifecycle_facts(std::string const& replica) const -> LifecycleFacts {
+    auto facts = LifecycleFacts();
     facts.now = clock_now();
     facts.proof_age = proof_age(facts.now);  // before the snapshot: what it proves is then in it
     facts.proof_limit = proof_limit();
@@ -28,10 +28,10 @@
 }
 
 // Opening a connection takes time in which rules, list and proof go on. Nothing is written yet.
-auto Node::last_look(Course const& course) const -> LastLook {
-    auto const facts = facts_for(course.placement.replica);
-    if (!course.may_be_sent(facts)) return LastLook::moved_on;
-    return request_leaves(course, facts) ? LastLook::send : LastLook::forbidden;
+auto Node::check_before_send(RequestLifecycle const& lifecycle) const -> SendCheck {
+    auto const facts = lifecycle_facts(lifecycle.placement.replica);
+    if (!lifecycle.may_be_sent(facts)) return SendCheck::moved_on;
+    return request_leaves(lifecycle, facts) ? SendCheck::send : SendCheck::forbidden;
 }
 
 auto Node::may_refuse(Microseconds proven) const -> bool { return clock_now() - proven <= refusal_limit(); }
@@ -39,24 +39,24 @@
 // What the rules refused; 503 says nothing of them.
 auto Node::note_refusal(int status, Sequence const& sequence) -> void {
     auto const now = clock_now();
-    if (status != 503) sight.refused(status, sequence, proof_age(now), now);
+    if (status != 503) update_metrics.refused(status, sequence, proof_age(now), now);
 }
 
 auto Node::try_ended(
-    std::string const& replica, Ticket const& ticket, TryEnd end, std::string const& reason, Microseconds sent_at)
-    -> void {
+    std::string const& replica, InferenceRequest const& inference, TryEnd end, std::string const& reason,
+    Microseconds sent_at) -> void {
     auto const now = clock_now();
     {
         auto const guard = std::lock_guard(table.lock);
-        table.granting.finished(replica, ticket, now - sent_at, now, end == TryEnd::answered);
-        if (retry::outcome_of_replica(end)) table.granting.burden.ended(replica, end != TryEnd::answered, now);
-        if (end == TryEnd::not_sent) table.granting.burden.report_failed(replica, now);
-        if (end == TryEnd::did_not_run) table.granting.burden.refused(replica, reason, now);
-        if (table.granting.waiting_count() > 0) match_locked(now);
+        table.scheduler.finished(replica, inference, now - sent_at, now, end == TryEnd::answered);
+        if (retry::outcome_of_replica(end)) table.scheduler.load_table.ended(replica, end != TryEnd::answered, now);
+        if (end == TryEnd::not_sent) table.scheduler.load_table.report_failed(replica, now);
+        if (end == TryEnd::did_not_run) table.scheduler.load_table.refused(replica, reason, now);
+        if (table.scheduler.waiting_count() > 0) schedule_locked(now);
     }
     if (end == TryEnd::answered) {
         ++counters.answered;
-        measures.whole_answers.of(ticket).add(now - ticket.arrived_at);
+        latency_metrics.whole_answers.of(inference).add(now - inference.arrived_at);
     }
     if (end == TryEnd::broken_after) ++counters.broken;
     if (end == TryEnd::caller_gone) ++counters.callers_gone;
--- a/source/process/node_types.hpp
+++ b/source/process/node_types.hpp
@@ -34,17 +34,17 @@
 
 auto fresh_identity() -> std::string;
 
-enum class RelayDoor : int { front, ready, operators };
+enum class RelayListener : int { front, ready, operators };
 
 // A replica or store whose events are read.
-struct KeptSource {
+struct CacheSource {
     std::string address;
     std::string area;
     bool store = false;
 };
 
 // Whether a try may be written: not where what it rests on moved on, nor where it would break an invariant.
-enum class LastLook : int { send, moved_on, forbidden };
+enum class SendCheck : int { send, moved_on, forbidden };
 
 // Why a node did not start.
 struct StartFailure {
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -29,11 +29,11 @@
     }
 }
 
-auto written(DutyOrder const& due, std::string const& holder) -> WeightsOrder {
+auto written(AddressedOrder const& due, std::string const& holder) -> WeightsOrder {
     return {due.model, due.order.version, holder, due.fence, due.order.orders, due.order.replica};
 }
 
-auto tell_notes(DutyActions const& due) -> void {
+auto tell_notes(ControllerActions const& due) -> void {
     for (auto const& [partition, reason] : due.held)
         write_log(
             Level::information, "weights-orders-held",
@@ -54,26 +54,26 @@
 
 auto Node::step_weights() -> void {
     auto const now = clock_now();
-    auto due = weights_duty.step(control, *snapshot.load(), now);
+    auto due = weights_controller.step(control, *snapshot.load(), now);
     weights_under_way = due.under_way;
     tell_notes(due);
-    auto const figures = weights_duty.figures(now);
+    auto const figures = weights_controller.figures(now);
     counters.weights_behind = figures.behind;
     counters.weights_overdue = figures.overdue;
     counters.weights_oldest = static_cast<std::uint64_t>(figures.oldest / one_millisecond);
-    for (auto const& [partition, text] : due.words) act_on(control.live_read(partition, now, now, text));
+    for (auto const& [partition, text] : due.words) apply_output(control.live_read(partition, now, now, text));
     for (auto& order : due.orders)
-        spawn_connection(counters, asio::make_strand(context), send_duty_order(std::move(order)));
+        spawn_connection(counters, asio::make_strand(context), send_addressed_order(std::move(order)));
     for (auto& report : due.reports)
-        spawn_connection(counters, asio::make_strand(context), ask_duty_report(std::move(report)));
+        spawn_connection(counters, asio::make_strand(context), request_report(std::move(report)));
 }
 
 auto Node::weights_loop() -> awaitable<void> {
     if (settings.data_folder.empty()) co_return;  // the duty lies with the core
     in_control([this] {
-        weights_duty.at_once = static_cast<std::size_t>(settings.weights_at_once);
-        weights_duty.bound = settings.bounds.weights;
-        weights_duty.wait = settings.bounds.lease + holder_margin;
+        weights_controller.at_once = static_cast<std::size_t>(settings.weights_at_once);
+        weights_controller.bound = settings.bounds.weights;
+        weights_controller.wait = settings.bounds.lease + holder_margin;
     });
     while (!finished) {
         co_await pause((weights_under_way ? 25 : 200) * one_millisecond);
@@ -99,7 +99,7 @@
     co_return std::nullopt;
 }
 
-auto Node::send_duty_order(DutyOrder order) -> awaitable<void> {
+auto Node::send_addressed_order(AddressedOrder order) -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto end = OrderEnd::unreachable;
     auto status = 0;
@@ -126,12 +126,12 @@
             "replica", order.order.replica, "model", order.model, "version", order.order.version, "fence", order.fence,
             "status", status, "end", std::string(order_end_names[static_cast<std::size_t>(end)])));
     in_control([this, order = std::move(order), end] {
-        weights_duty.order_ended(order, end, clock_now());
+        weights_controller.order_ended(order, end, clock_now());
         step_weights();
     });
 }
 
-auto Node::ask_duty_report(DutyReport asked) -> awaitable<void> {
+auto Node::request_report(ReportRequest asked) -> awaitable<void> {
     auto ask = form->report_call();
     if (!form->headers.replica_wanted.empty()) ask.headers.emplace_back(form->headers.replica_wanted, asked.replica);
     auto const asked_at = clock_now();
@@ -146,7 +146,7 @@
         ++counters.weights_report_failures;
     }
     in_control([this, asked = std::move(asked), report, asked_at] {
-        weights_duty.reported(asked, report, asked_at, clock_now());
+        weights_controller.reported(asked, report, asked_at, clock_now());
         step_weights();
     });
 }
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -54,7 +54,7 @@
     };
     std::map<std::string, Peer> peers;
     std::map<std::string, PeerLink> links;  // by address, also of those that are only heard
-    std::uint64_t life = 0;                 // of this process; drawn at the start
+    std::uint64_t instance = 0;             // of this process; drawn at the start
     std::uint64_t last_number = 0;          // of all frames of this life
     std::thread reader;
     std::atomic<bool> stopping{false};
@@ -84,7 +84,7 @@
 
     auto read_frames(Heard const& heard) -> void;
     auto dial(std::string const& address, Peer& peer, Microseconds now) -> bool;
-    auto mark_heard(std::string const& address, LinkNote const& note) -> void;
+    auto mark_heard(std::string const& address, LinkHeader const& note) -> void;
     auto dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool;
     auto hear(std::string_view bytes, Heard const& heard) -> bool;
     auto let_go_unused(Microseconds now) -> void;
--- a/source/process/form.hpp
+++ b/source/process/wire_protocol.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 
 #include "connection/http_client.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 #include "version/services.hpp"
 
 namespace dockrock {
@@ -22,7 +22,7 @@
     std::string tenant;
     std::string replica_wanted;
     std::string weights_wanted;
-    std::string weights_told;
+    std::string weights_reported;
     std::string salt;  // under which kept prompts are found
     std::string urgency;
     std::string fetch_from;
@@ -60,29 +60,29 @@
     std::string replica;                  // the life it is for
 };
 // What a replica or store tells of kept parts, later than it happened.
-struct KeptEvent {
+struct CacheEvent {
     std::uint64_t number = 0;
-    bool kept = false;  // or given up, wholly or in part
+    bool cached = false;  // or given up, wholly or in part
     std::string salt;
     std::string part;
     std::int64_t tokens = 0;  // kept now
     std::string model;
 };
-struct KeptEvents {
+struct CacheEvents {
     std::string life;  // changes when it restarts
     std::uint64_t next = 0;
     bool gap = false;  // some events are lost
-    std::vector<KeptEvent> events;
+    std::vector<CacheEvent> events;
 };
 
-struct RelayForm {
+struct WireProtocol {
     std::string name;
     HeaderNames headers;
     bool takes_content_codings = true;  // false: a success in a content coding is not the body that clients asked for
     std::string ready_path;
     std::string configuration_path;
     std::string weights_path;
-    DocumentForm documents;
+    DocumentFormat documents;
     std::function<std::optional<WeightsNamed>(std::string_view body)> read_weights_named;
     // The platform's list of replicas.
     std::function<HttpCall(std::string const& page)> list_call;
@@ -92,9 +92,9 @@
     std::function<std::optional<WeightsReport>(std::string_view body)> read_report;
     std::function<HttpCall(WeightsOrder const& order)> order_call;
     std::function<HttpCall(std::uint64_t since, Microseconds wait)> events_call;
-    std::function<std::optional<KeptEvents>(std::string_view body)> read_events;
-    std::function<HttpCall()> kept_call;
-    std::function<std::optional<KeptEvents>(std::string_view body)> read_kept;  // all that is kept, as events
+    std::function<std::optional<CacheEvents>(std::string_view body)> read_events;
+    std::function<HttpCall()> cache_call;
+    std::function<std::optional<CacheEvents>(std::string_view body)> read_cache;  // all that is kept, as events
 };
 
 }  // namespace dockrock
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -1,20 +1,20 @@
 // What is known of a replica's prompt work and outcomes, and the filters that a request's replica passes.
 // docs/design.md sections 9.3, 9.4 and 9.11.
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
 // Prompt tokens placed there by anyone whose reading is not known to be over.
-auto BurdenTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
-    if (now - state.told_oldest <= options.digest_lost) return sum + state.told_unread;
-    for (auto const& item : state.told)
+    if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_unread;
+    for (auto const& item : state.remote)
         if (now - item.at <= options.digest_lost) sum += item.unread;
     return sum;
 }
 
-auto BurdenTable::outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes {
-    auto sum = Outcomes{};
+auto ReplicaLoadTable::outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes {
+    auto sum = TryOutcomes{};
     for (auto const& outcome : state.outcomes) {
         if (now - outcome.at > outcome_window) continue;
         ++sum.ended;
@@ -24,7 +24,7 @@
         sum.ended += state.summed.ended;
         sum.failed += state.summed.failed;
     }
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         if (now - item.at > options.digest_lost) continue;
         sum.ended += item.ended;
         sum.failed += item.failed;
@@ -32,25 +32,26 @@
     return sum;
 }
 
-auto BurdenTable::judge_health(Microseconds now) -> void {
+auto ReplicaLoadTable::judge_health(Microseconds now) -> void {
     if (!options.eject_failing) return;
     for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
 }
 
-auto BurdenTable::check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter {
-    auto const result = check_apart_from_health(state, ticket, now);
+auto ReplicaLoadTable::check(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const
+    -> Filter {
+    auto const result = check_apart_from_health(state, inference, now);
     return result == Filter::passed && !state.health.usable(now) ? Filter::failing : result;
 }
 
-auto BurdenTable::check_apart_from_health(ReplicaState const& state, Ticket const& ticket, Microseconds now) const
-    -> Filter {
+auto ReplicaLoadTable::check_apart_from_health(
+    ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const -> Filter {
     if (state.entry.drain) return Filter::available;
     if (state.unreachable || now < state.unreachable_until) return Filter::reachable;
     if (!state.report || state.report->changing) return Filter::weights;
-    if (!ticket.body.weights.empty() && ticket.body.weights != state.report->weights) return Filter::weights;
-    if (state.entry.capacity < ticket.body.slots) return Filter::capacity;
+    if (!inference.body.weights.empty() && inference.body.weights != state.report->weights) return Filter::weights;
+    if (state.entry.capacity < inference.body.slots) return Filter::capacity;
     if (now < state.paused_until || !has_room(state, now)) return Filter::busy;
-    auto const needed = ticket.declared() - kept_tokens(state, ticket);
+    auto const needed = inference.declared() - cached_tokens(state, inference);
     if (free_memory(state, now) < needed) return Filter::memory;
     return Filter::passed;
 }
--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-inline constexpr auto wall_names = std::to_array<std::string_view>({"shared", "group", "isolated"});
+inline constexpr auto isolation_names = std::to_array<std::string_view>({"shared", "group", "isolated"});
 inline constexpr auto whole_fleet = std::string_view("fleet");
 inline constexpr auto deepest_branch = 16;
 inline constexpr auto most_tenants = std::size_t{4'096};
@@ -20,8 +20,8 @@
 auto group_domain(std::string_view path) -> std::string { return "group:" + std::string(path); }
 
 struct Inherited {
-    Wall wall = Wall::shared;
-    std::string wall_domain = std::string(whole_fleet);
+    Isolation wall = Isolation::shared;
+    std::string isolation_domain = std::string(whole_fleet);
     int rank = 0;
     int share = 1;
     std::vector<Key> keys;
@@ -52,16 +52,16 @@
         -> Inherited {
         name(branch.name, path);
         if (branch.wall) {
-            auto const found = std::find(wall_names.begin(), wall_names.end(), *branch.wall);
-            if (found == wall_names.end()) {
+            auto const found = std::find(isolation_names.begin(), isolation_names.end(), *branch.wall);
+            if (found == isolation_names.end()) {
                 problem(path + "/wall", "must be shared, group or isolated");
-            } else if (auto const wall = static_cast<Wall>(found - wall_names.begin()); wall < from.wall) {
+            } else if (auto const wall = static_cast<Isolation>(found - isolation_names.begin()); wall < from.wall) {
                 problem(
                     path + "/wall",
                     "walls only tighten downward: a branch above sets " +
-                        std::string(wall_names[static_cast<std::size_t>(from.wall)]));
+                        std::string(isolation_names[static_cast<std::size_t>(from.wall)]));
             } else {
-                if (wall == Wall::group) from.wall_domain = group_domain(tree_path);
+                if (wall == Isolation::group) from.isolation_domain = group_domain(tree_path);
                 from.wall = wall;
             }
         }
@@ -119,7 +119,7 @@
             auto const mine = inherit(tenant, here, place, tenant_path);
             if (!tenant_names.insert(tenant.name).second) problem(place + "/name", "another tenant has this name");
             if (result.tenants.size() >= most_tenants) return problem(place, "more than 4096 tenants");
-            auto const domain = mine.wall == Wall::isolated ? isolated_scope(tenant_path) : mine.wall_domain;
+            auto const domain = mine.wall == Isolation::isolated ? isolated_scope(tenant_path) : mine.isolation_domain;
             result.tenants.push_back(
                 {tenant_path, tenant.name, mine.wall, domain, domain, mine.rank, mine.share, mine.keys, mine.keys_from,
                  mine.models});
@@ -136,14 +136,15 @@
 }
 
 auto set_scopes(std::vector<Tenant>& tenants) -> void {
-    std::map<std::string, std::set<std::string>> walled_off;  // by domain that tenants share in
-    for (auto const& tenant : tenants) walled_off[tenant.wall_domain];
+    std::map<std::string, std::set<std::string>> isolated_domains;  // by domain that tenants share in
+    for (auto const& tenant : tenants) isolated_domains[tenant.isolation_domain];
     for (auto const& tenant : tenants)
         for (auto const& domain : domains_around(tenant.path))
-            if (auto const found = walled_off.find(domain); found != walled_off.end() && domain != tenant.wall_domain)
-                found->second.insert(tenant.wall_domain);
+            if (auto const found = isolated_domains.find(domain);
+                found != isolated_domains.end() && domain != tenant.isolation_domain)
+                found->second.insert(tenant.isolation_domain);
     for (auto& tenant : tenants)
-        tenant.sharing_scope = sharing_scope(tenant.wall_domain, walled_off[tenant.wall_domain]);
+        tenant.sharing_scope = sharing_scope(tenant.isolation_domain, isolated_domains[tenant.isolation_domain]);
 }
 
 auto check_range(Checker& checker, std::int64_t value, std::int64_t least, std::int64_t most, std::string const& path)
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <mutex>
 
-#include "ticket/granting.hpp"
+#include "ticket/scheduler.hpp"
 
 namespace dockrock {
 
@@ -14,7 +14,7 @@
 };
 
 template <typename Primitives>
-struct EntryTable {
+struct AdmissionTable {
     using Wake = std::function<void()>;
     using Guard = std::lock_guard<typename Primitives::Mutex>;
     struct Entry {
@@ -24,21 +24,21 @@
     };
 
     typename Primitives::Mutex lock;
-    Granting granting;
+    Scheduler scheduler;
     std::map<std::uint64_t, Entry> entries;
 
     // `avoid` names the replica of an earlier try that did not run; then the
     // entry is an extra try.
-    auto enter(
-        Ticket const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
+    auto enqueue(
+        InferenceRequest const& inference, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
         Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
-        entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
+        entries[inference.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
         Decisions decisions;
-        if (avoid) granting.enter_again(ticket, *avoid, now);
-        else granting.enter(ticket, now, decisions);
+        if (avoid) scheduler.enqueue_retry(inference, *avoid, now);
+        else scheduler.enqueue(inference, now, decisions);
         settle(decisions);
-        match_locked(now, proof_age);
+        schedule_locked(now, proof_age);
     }
 
     // Takes the entry out, with what was decided of it.
@@ -58,17 +58,17 @@
     auto abandon(std::uint64_t number) -> void {
         auto const guard = Guard(lock);
         auto const entry = take(number);
-        if (entry.placement) granting.burden.release(entry.placement->replica, number);
+        if (entry.placement) scheduler.load_table.release(entry.placement->replica, number);
     }
 
-    auto match(Microseconds now, Microseconds proof_age) -> void {
+    auto schedule(Microseconds now, Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
-        match_locked(now, proof_age);
+        schedule_locked(now, proof_age);
     }
 
-    auto match_locked(Microseconds now, Microseconds proof_age) -> void {
+    auto schedule_locked(Microseconds now, Microseconds proof_age) -> void {
         Decisions decisions;
-        granting.match(now, proof_age, decisions);
+        scheduler.schedule(now, proof_age, decisions);
         settle(decisions);
     }
 
@@ -76,7 +76,7 @@
     template <typename Work>
     auto with(Work&& work) -> decltype(auto) {
         auto const guard = Guard(lock);
-        return work(granting);
+        return work(scheduler);
     }
 
    private:
@@ -86,22 +86,22 @@
             entry = std::move(found->second);
             entries.erase(found);
         }
-        granting.withdraw(number);
+        scheduler.withdraw(number);
         return entry;
     }
 
     auto settle(Decisions const& decisions) -> void {
         for (auto const& placement : decisions.placements) {
-            auto const found = entries.find(placement.ticket);
+            auto const found = entries.find(placement.request_number);
             if (found == entries.end()) {
-                granting.burden.release(placement.replica, placement.ticket);
+                scheduler.load_table.release(placement.replica, placement.request_number);
                 continue;
             }
             found->second.placement = placement;
             found->second.wake();
         }
         for (auto const& shed : decisions.sheds) {
-            auto const found = entries.find(shed.ticket);
+            auto const found = entries.find(shed.request_number);
             if (found == entries.end()) continue;
             found->second.shed = shed;
             found->second.wake();
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The small interpreter a ticket goes through. docs/design.md section 9.1.
 #include "sequence/rules.hpp"
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
@@ -15,12 +15,12 @@
 };
 
 struct Verdict {
-    enum class Kind : int { answer, enter, forward };
+    enum class Kind : int { answer, enqueue, forward };
     Kind kind = Kind::answer;
     int status = 500;
     std::string reason;
     Problems problems;
-    Ticket ticket;
+    InferenceRequest inference;
     std::string forward_path;
 };
 
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -2,12 +2,12 @@
 // nodes told, kept as they change. docs/design.md section 9.4.
 #include <algorithm>
 
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
-auto ReplicaState::take_away(std::uint64_t ticket) -> void {
-    auto const found = placed.find(ticket);
+auto ReplicaState::take_away(std::uint64_t request_number) -> void {
+    auto const found = placed.find(request_number);
     if (found == placed.end()) return;
     placed_slots -= found->second.slots;
     placed_memory -= found->second.memory;
@@ -16,35 +16,35 @@
     placed.erase(found);
 }
 
-auto ReplicaState::count_told(Told const& item, std::int64_t sign) -> void {
-    told_slots += sign * item.slots;
-    told_memory += sign * item.memory;
-    told_unread += sign * item.unread;
-    if (item.at > reported_at) told_unreported += sign * item.unreported;
+auto ReplicaState::count_remote(RemoteLoad const& item, std::int64_t sign) -> void {
+    remote_slots += sign * item.slots;
+    remote_memory += sign * item.memory;
+    remote_unread += sign * item.unread;
+    if (item.at > reported_at) remote_unreported += sign * item.unreported;
 }
 
-auto ReplicaState::sum_told() -> void {
-    told_slots = told_memory = told_unread = told_unreported = 0;
-    told_oldest = told.empty() ? 0 : told.front().at;
-    for (auto const& item : told) {
-        count_told(item, 1);
-        told_oldest = std::min(told_oldest, item.at);
+auto ReplicaState::sum_remote() -> void {
+    remote_slots = remote_memory = remote_unread = remote_unreported = 0;
+    remote_oldest = remote.empty() ? 0 : remote.front().at;
+    for (auto const& item : remote) {
+        count_remote(item, 1);
+        remote_oldest = std::min(remote_oldest, item.at);
     }
 }
 
 namespace {
 
 // Each node tells of a replica once; its order for the last places stays.
-auto tell(ReplicaState& state, std::string const& node, BurdenTable::Digest const& digest, OtherBurden const& item)
+auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, ReplicaLoad const& item)
     -> void {
-    auto found =
-        std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
-    if (found == state.told.end()) {
-        if (state.told.empty()) state.told_oldest = digest.at;
-        state.told.push_back({digest.node, hash_text(node, state.seed)});
-        found = state.told.end() - 1;
+    auto found = std::find_if(
+        state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == digest.node; });
+    if (found == state.remote.end()) {
+        if (state.remote.empty()) state.remote_oldest = digest.at;
+        state.remote.push_back({digest.node, hash_text(node, state.seed)});
+        found = state.remote.end() - 1;
     }
-    state.count_told(*found, -1);
+    state.count_remote(*found, -1);
     found->at = digest.at;
     found->slots = item.slots;
     found->memory = item.memory;
@@ -53,32 +53,32 @@
     found->ended = item.ended;
     found->failed = item.failed;
     found->unreported = item.count > 0 ? item.memory / item.count * std::min(item.recent, item.count) : 0;
-    state.count_told(*found, 1);
-    state.told_oldest = std::min(state.told_oldest, digest.at);
+    state.count_remote(*found, 1);
+    state.remote_oldest = std::min(state.remote_oldest, digest.at);
 }
 
 auto untell(ReplicaState& state, std::uint64_t node) -> void {
     auto const found =
-        std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == node; });
-    if (found == state.told.end()) return;
-    state.count_told(*found, -1);
-    *found = state.told.back();
-    state.told.pop_back();
+        std::find_if(state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == node; });
+    if (found == state.remote.end()) return;
+    state.count_remote(*found, -1);
+    *found = state.remote.back();
+    state.remote.pop_back();
 }
 
 }  // namespace
 
 // A replica that was not listed before: others may have told of it already.
-auto BurdenTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
+auto ReplicaLoadTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
     state.seed = hash_text(name);
     for (auto const& [node, digest] : others)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
             tell(state, node, digest, found->second);
 }
 
-auto BurdenTable::take_told(
-    std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at) -> void {
-    if (digest.node == 0) digest.node = ++nodes_told;
+auto ReplicaLoadTable::take_remote_loads(
+    std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void {
+    if (digest.node == 0) digest.node = ++reporting_nodes;
     auto const was_active = !digest.replicas.empty();
     digest.at = at;
     for (auto const& [name, item] : digest.replicas)
@@ -96,29 +96,30 @@
 
 // A digest that is lost counts for nothing: what it said is dropped, its number
 // is kept, so that an older one is still known as such. Now and then only.
-auto BurdenTable::forget_lost(Microseconds now) -> void {
+auto ReplicaLoadTable::forget_lost(Microseconds now) -> void {
     if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
     for (auto& [node, digest] : others)
-        if (now - digest.at > options.digest_lost && !digest.replicas.empty()) take_told(node, digest, {}, digest.at);
+        if (now - digest.at > options.digest_lost && !digest.replicas.empty())
+            take_remote_loads(node, digest, {}, digest.at);
     others_oldest = now;
     for (auto const& [node, digest] : others)
         if (!digest.replicas.empty()) others_oldest = std::min(others_oldest, digest.at);
-    for (auto& [name, state] : replicas) state.sum_told();
+    for (auto& [name, state] : replicas) state.sum_remote();
 }
 
-auto BurdenTable::make_pools() -> void {
+auto ReplicaLoadTable::make_pools() -> void {
     pools.clear();
     for (auto const& [name, state] : replicas) pools[state.entry.model].push_back(&state);
 }
 
-auto BurdenTable::pool(std::string_view model) const -> std::vector<ReplicaState const*> const& {
+auto ReplicaLoadTable::pool(std::string_view model) const -> std::vector<ReplicaState const*> const& {
     static auto const none = std::vector<ReplicaState const*>();
     auto const found = pools.find(model);
     return found == pools.end() ? none : found->second;
 }
 
-auto BurdenTable::active_nodes(Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::active_nodes(Microseconds now) const -> std::int64_t {
     auto count = std::int64_t{1};
     // A relay's silence is not its nodes' end: without a sum they are taken to be there.
     if (relayed) count += summed_lost(now) ? std::max(summed.nodes, fleet_nodes - 1) : summed.nodes;
@@ -128,20 +129,20 @@
     return count;
 }
 
-auto BurdenTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::running(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_slots + (relayed && !summed_lost(now) ? state.summed.slots : 0);
-    if (now - state.told_oldest <= options.digest_lost) return sum + state.told_slots;
-    for (auto const& item : state.told)
+    if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_slots;
+    for (auto const& item : state.remote)
         if (now - item.at <= options.digest_lost) sum += item.slots;
     return sum;
 }
 
 // What others may have placed since they last told: their recent rate over the
 // digest's age, and the rest of their slice once it is old (design 9.4).
-auto BurdenTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = std::int64_t{0};
     auto slice = std::int64_t{-1};
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         auto const age = now - item.at;
         if (age > options.digest_lost) continue;
         if (age > options.digest_old) {
@@ -156,7 +157,7 @@
     return sum + summed_reserve(state, slice, now);
 }
 
-auto BurdenTable::free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto free = state.entry.memory - state.placed_memory;
     auto reported = (state.report ? state.report->free_memory : 0) - state.placed_since;
     if (relayed && !summed_lost(now)) {
@@ -165,9 +166,9 @@
         if (summed.at > state.reported_at && load.count > 0)
             reported -= load.memory / load.count * std::min(load.recent, load.count);
     }
-    if (now - state.told_oldest <= options.digest_lost)
-        return std::min(free - state.told_memory, reported - state.told_unreported);
-    for (auto const& item : state.told) {
+    if (now - state.remote_oldest <= options.digest_lost)
+        return std::min(free - state.remote_memory, reported - state.remote_unreported);
+    for (auto const& item : state.remote) {
         if (now - item.at > options.digest_lost) continue;
         free -= item.memory;
         if (item.at > state.reported_at) reported -= item.unreported;
@@ -177,7 +178,7 @@
 
 // How many other nodes come before this one for a replica's last places: those
 // with the fewest there first, since a fixed order starves a node.
-auto BurdenTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
+auto ReplicaLoadTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const mine = hash_text(self, state.seed);
     auto rank = std::int64_t{0};
     if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some of them are lost
@@ -198,7 +199,7 @@
     }
     // As if nobody had anything there; then those who have.
     rank = own == 0 ? state.orders_below : own > 0 ? others_active : 0;
-    for (auto const& item : state.told) {
+    for (auto const& item : state.remote) {
         auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
         auto const before = std::pair(item.slots, item.order) < std::pair(own, mine);
         rank += static_cast<std::int64_t>(before) - static_cast<std::int64_t>(counted);
@@ -209,7 +210,7 @@
 // Running no greater than four times the capacity, as the design asks; and
 // where little is left, the last places go to nodes by their rank for this
 // replica, one each between digests, so that not all take the same place.
-auto BurdenTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
+auto ReplicaLoadTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
     auto const limit = options.multiplier * state.entry.capacity;
     auto const known = running(state, now);
     auto const left = limit + 1 - known;
@@ -220,8 +221,8 @@
     if (left > nodes || nodes == 1) return true;
     if (options.idle_open && 2 * left > limit) return true;
     // Through relays a word takes longer than the time between two words.
-    auto const untold = relayed ? unseen(state) : state.untold;
-    if (untold >= std::max<std::int64_t>(1, left / nodes)) return false;
+    auto const unreported_placements = relayed ? unseen(state) : state.unreported_placements;
+    if (unreported_placements >= std::max<std::int64_t>(1, left / nodes)) return false;
     return rank_for(state, own, now) + (relayed ? summed_rank(state, own, now) : 0) < left;
 }
 
--- a/source/ticket/burden.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -1,19 +1,19 @@
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 #include <algorithm>
 #include <charconv>
 
 namespace dockrock {
 
-auto BurdenTable::take_list(ReplicaList const& list) -> void {
+auto ReplicaLoadTable::take_list(ReplicaList const& list) -> void {
     std::set<std::string> named;
     for (auto const& entry : list.replicas) {
         named.insert(entry.name);
         auto& state = replicas[entry.name];
         if (!state.entry.address.empty() && state.entry.address != entry.address) {
             state.report.reset();  // another process under this name: asked before use
-            state.kept.clear();
-            state.kept_unsure = true;
+            state.cached.clear();
+            state.cache_unknown = true;
         }
         if (state.seed == 0) tell_of(entry.name, state);
         state.entry = entry;
@@ -26,7 +26,8 @@
     make_pools();
 }
 
-auto BurdenTable::take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void {
+auto ReplicaLoadTable::take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at)
+    -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
@@ -34,70 +35,70 @@
     auto const restarted = !state.report || state.report->incarnation != report.incarnation;
     auto const other_weights = state.report && state.report->weights != report.weights;
     if (restarted || other_weights) {
-        state.kept.clear();
-        state.kept_unsure = false;
+        state.cached.clear();
+        state.cache_unknown = false;
         state.next_event = restarted ? 0 : state.next_event;
     }
     if (report.first_event > state.next_event) {  // a gap: what we hold may be gone, so it does not count
-        state.kept.clear();
+        state.cached.clear();
     }
     for (auto const& event : report.events) {
         if (event.number < state.next_event) continue;
         auto chain = std::uint64_t{0};
         std::from_chars(event.chain.data(), event.chain.data() + event.chain.size(), chain);
-        if (event.kind == "kept") state.kept.insert(chain);
-        else if (event.kind == "dropped") state.kept.erase(chain);
-        else if (event.kind == "cleared") state.kept.clear();
+        if (event.kind == "kept") state.cached.insert(chain);
+        else if (event.kind == "dropped") state.cached.erase(chain);
+        else if (event.kind == "cleared") state.cached.clear();
     }
     state.next_event = std::max(state.next_event, report.next_event);
-    state.kept_unsure = report.changing;
+    state.cache_unknown = report.changing;
     state.report = report;
     state.report->events.clear();
     state.reported_at = asked_at;
     state.unreachable = false;
     state.placed_since = 0;
-    for (auto const& [ticket, placed] : state.placed)
+    for (auto const& [request_number, placed] : state.placed)
         if (placed.at >= asked_at) state.placed_since += placed.memory;
-    state.sum_told();
+    state.sum_remote();
 }
 
-auto BurdenTable::report_failed(std::string const& name, Microseconds now) -> void {
+auto ReplicaLoadTable::report_failed(std::string const& name, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     found->second.unreachable = true;
     found->second.unreachable_until = now + options.unreachable_pause;
-    found->second.kept_unsure = true;
+    found->second.cache_unknown = true;
 }
 
-auto BurdenTable::take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now)
-    -> void {
+auto ReplicaLoadTable::take_digest(
+    std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void {
     auto& digest = others[node];
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
     if (!parsed) return;
-    std::map<std::string, OtherBurden> told;
+    std::map<std::string, ReplicaLoad> told;
     Problems problems;
     read_json(*parsed, told, "", problems);
     if (!problems.empty()) return;
     digest.number = number;
-    take_told(node, digest, std::move(told), now);
+    take_remote_loads(node, digest, std::move(told), now);
     forget_lost(now);
     judge_health(now);
 }
 
 // What this node tells of its own placements, replica by replica.
-auto BurdenTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>> {
-    std::vector<std::pair<std::string, OtherBurden>> told;
+auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>> {
+    std::vector<std::pair<std::string, ReplicaLoad>> told;
     for (auto& [name, state] : replicas) {
         if (!state.recent.empty()) std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
-        state.untold = 0;
+        state.unreported_placements = 0;
         while (!state.outcomes.empty() && now - state.outcomes.front().at > outcome_window) state.outcomes.pop_front();
         if (state.placed.empty() && state.recent.empty() && state.outcomes.empty()) continue;
         auto const failed = std::count_if(
             state.outcomes.begin(), state.outcomes.end(), [](auto const& outcome) { return outcome.failed; });
         told.emplace_back(
             name,
-            OtherBurden{
+            ReplicaLoad{
                 static_cast<std::int64_t>(state.placed.size()), state.placed_slots, state.placed_memory,
                 static_cast<std::int64_t>(state.recent.size()), state.placed_unread,
                 static_cast<std::int64_t>(state.outcomes.size()), failed});
@@ -107,101 +108,103 @@
     return told;
 }
 
-auto BurdenTable::make_digest(Microseconds now) -> std::string {
+auto ReplicaLoadTable::make_digest(Microseconds now) -> std::string {
     json::object told;
     for (auto const& [name, item] : own_load(now)) told[name] = write_json(item);
     return json::serialize(told);
 }
 
-auto BurdenTable::place(
-    std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread) -> void {
+auto ReplicaLoadTable::place(
+    std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
+    std::int64_t unread) -> void {
     auto& state = replicas.at(name);
-    state.take_away(ticket.number);
-    state.placed[ticket.number] = {ticket.body.slots, memory, now, unread};
-    state.placed_slots += ticket.body.slots;
+    state.take_away(inference.number);
+    state.placed[inference.number] = {inference.body.slots, memory, now, unread};
+    state.placed_slots += inference.body.slots;
     state.placed_memory += memory;
     state.placed_unread += unread;
     if (now >= state.reported_at) state.placed_since += memory;
     std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
     state.recent.push_back(now);
-    ++state.untold;
+    ++state.unreported_placements;
 }
 
-auto BurdenTable::release(std::string const& name, std::uint64_t ticket) -> void {
-    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(ticket);
+auto ReplicaLoadTable::release(std::string const& name, std::uint64_t request_number) -> void {
+    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(request_number);
 }
 
-auto BurdenTable::first_output(std::string const& name, std::uint64_t ticket) -> void {
+auto ReplicaLoadTable::first_output(std::string const& name, std::uint64_t request_number) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
-    auto const placed = state.placed.find(ticket);
+    auto const placed = state.placed.find(request_number);
     if (placed == state.placed.end()) return;
     state.placed_unread -= std::exchange(placed->second.unread, 0);
 }
 
-auto BurdenTable::ended(std::string const& name, bool failed, Microseconds now) -> void {
+auto ReplicaLoadTable::ended(std::string const& name, bool failed, Microseconds now) -> void {
     if (auto const found = replicas.find(name); found != replicas.end())
         found->second.outcomes.push_back({now, failed});
 }
 
-auto BurdenTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept)
+auto ReplicaLoadTable::take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool cached)
     -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
-    if (kept) found->second.parts[part ^ weights_mark] = weights_mark;
-    else found->second.parts.erase(part ^ weights_mark);
+    if (cached) found->second.parts[part ^ weights_hash] = weights_hash;
+    else found->second.parts.erase(part ^ weights_hash);
 }
 
-auto BurdenTable::forget_parts(std::string const& name) -> void {
+auto ReplicaLoadTable::forget_parts(std::string const& name) -> void {
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.parts.clear();
 }
 
-auto BurdenTable::kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t {
-    if (ticket.parts_alone) {
+auto ReplicaLoadTable::cached_tokens(ReplicaState const& state, InferenceRequest const& inference) const
+    -> std::int64_t {
+    if (inference.parts_alone) {
         auto tokens = std::int64_t{0};
-        for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
-            if (!state.parts.contains(ticket.chain[index] ^ state.weights_mark)) break;
-            tokens += ticket.body.prefix[index].tokens;
+        for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
+            if (!state.parts.contains(inference.chain[index] ^ state.weights_hash)) break;
+            tokens += inference.body.prefix[index].tokens;
         }
         return tokens;
     }
-    if (state.kept_unsure || !state.report) return 0;
+    if (state.cache_unknown || !state.report) return 0;
     auto best = std::int64_t{0};
     auto tokens = std::int64_t{0};
-    for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
-        tokens += ticket.body.prefix[index].tokens;
-        if (state.kept.contains(ticket.chain[index])) best = tokens;
+    for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
+        tokens += inference.body.prefix[index].tokens;
+        if (state.cached.contains(inference.chain[index])) best = tokens;
     }
     return best;
 }
 
 // What is known of a replica's weights where it reports nothing else.
-auto BurdenTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
+auto ReplicaLoadTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
     if (!state.report || state.report->weights != weights) {
-        state.weights_mark = hash_text(weights);
-        std::erase_if(state.parts, [&](auto const& item) { return item.second != state.weights_mark; });
+        state.weights_hash = hash_text(weights);
+        std::erase_if(state.parts, [&](auto const& item) { return item.second != state.weights_hash; });
         state.report = ReplicaReport{};
         state.report->incarnation = name;
         state.report->weights = weights;
     }
     state.report->changing = loading;
     state.report->free_memory = state.entry.memory;
-    state.kept_unsure = false;
+    state.cache_unknown = false;
 }
 
 // A replica's own word that it did not run something, and why.
-auto BurdenTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
+auto ReplicaLoadTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
     if (reason == "busy" || reason == "memory") state.paused_until = now + options.refused_pause;
     if ((reason == "weights" || reason == "restarted") && state.report) {
         state.report->changing = true;  // until it says what it serves
-        state.kept_unsure = true;
+        state.cache_unknown = true;
     }
 }
 
