--- a/source/request/event_reader.cpp
+++ b/source/request/event_reader.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The number in the event's `id` line, -1 where it has none.
+// The number in the event's `id` line, -1 if it has none.
 auto number_of(std::string_view event) -> std::int64_t {
     auto number = std::int64_t{-1};
     while (!event.empty()) {
@@ -25,9 +25,9 @@
     return number;
 }
 
-constexpr auto longest_end = std::size_t{3};  // bytes from the end of an event's last line on
+constexpr auto longest_end = std::size_t{3};  // of the line ends that end an event, in bytes: "\n\r\n"
 
-// One past the blank line that ends the first event; npos where it is not whole. It does not begin before `from`.
+// One past the blank line that ends the first event; npos if the event is incomplete. Searches from `from` on.
 auto end_of_event(std::string_view text, std::size_t from) -> std::size_t {
     for (auto at = text.find('\n', from); at != std::string_view::npos; at = text.find('\n', at + 1)) {
         if (at + 1 < text.size() && text[at + 1] == '\n') return at + 2;
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -29,12 +29,13 @@
         while (item.starts_with(' ')) item.remove_prefix(1);
         auto const name = take_until(item, ':');
         auto const tokens = number_of(item, 0);
-        if (name.empty() || tokens < 0 || tokens > most_tokens) break;  // what follows can't be found by it
+        if (name.empty() || tokens < 0 || tokens > most_tokens)
+            break;  // a prefix can't be looked up past an invalid part
         ticket.body.prefix.push_back({std::string(name), tokens});
         ticket.chain.push_back(part_hash(ticket.wall_domain, name));
         ticket.prefix_tokens += tokens;
     }
-    // Requests that share all but the last part belong together (design 9.7).
+    // Requests that share all parts but the last have the same affinity (design 9.7).
     ticket.affinity = hash_text(ticket.body.model, ticket.chain.empty() ? 1 : ticket.chain.front());
     for (auto index = std::size_t{1}; index + 1 < ticket.chain.size(); ++index)
         ticket.affinity = hash_text(ticket.body.prefix[index].name, ticket.affinity);
@@ -64,7 +65,7 @@
 }
 
 namespace {
-// The limit of the route, or the client's own where that is shorter.
+// By the route's timeout, or by the client's own if that is shorter.
 auto deadline_of(RelayArrival const& arrival, Route const& route) -> Microseconds {
     auto const given = number_of(arrival.deadline, 0);
     auto limit = std::min(route.timeout, longest_timeout);
@@ -72,7 +73,7 @@
     return arrival.now + limit;
 }
 
-// What granting has to know of a request that its route and its tenant let in.
+// Fills in what the scheduler needs for a request that its route and its tenant admit.
 auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, Ticket& ticket) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
--- a/source/request/relayed.hpp
+++ b/source/request/relayed.hpp
@@ -1,20 +1,20 @@
 #pragma once
-// A request that is relayed as it is: judged by the rules of the document of
-// services, and turned into what granting entry works on. docs/platform.md section 4.
+// Admission of a request that is relayed unchanged: checks it against the rules of the service document, and
+// derives what the scheduler needs from its head. docs/platform.md section 4.
 #include "sequence/rules.hpp"
 #include "ticket/interpreter.hpp"
 #include "version/services.hpp"
 
 namespace dockrock {
 
-// What the connection saw, as views into the request's head.
+// The request's head, as views into the connection's buffer.
 struct RelayArrival {
     std::string_view method, path, host, identity, key, deadline, model, tokens, prefix, last_event;
-    Microseconds now = 0;  // when it had been read whole
+    Microseconds now = 0;  // when the head had been read whole
 };
 
 struct RelayVerdict {
-    Verdict verdict;  // kind `enter`, or an answer with its status and reason
+    Verdict verdict;  // Kind::enter, or an answer with its status and reason
     Route const* route = nullptr;
     ServiceTenant const* tenant = nullptr;
     std::shared_ptr<ServiceRules const> rules;  // keeps route and tenant alive
@@ -22,14 +22,14 @@
 
 auto judge_relayed(std::shared_ptr<ServiceRules const> rules, RelayArrival const& arrival) -> RelayVerdict;
 
-// Under what text kept prompts are found: the wall and the weights' version, so
-// that memory behind another wall or of other weights is never found.
+// The prefix cache salt: isolation domain and weights version, so that a lookup never finds cache entries of
+// another domain or of other weights.
 auto salt_of(std::string_view wall_domain, std::string_view weights) -> std::string;
-// The parts of a salt again; nothing where it is not one of ours.
+// Isolation domain and weights of a salt; nullopt if the text is not a salt.
 auto read_salt(std::string_view salt) -> std::optional<std::pair<std::string, std::string>>;
-// One part under one wall, as the index of kept prompts knows it.
+// Hash of one prefix part within one isolation domain: its key in the index of cached prompts.
 auto part_hash(std::string_view wall_domain, std::string_view part) -> std::uint64_t;
-// Tenant before route; 0 first, 9 last.
+// Priority from the tenant's rank, then the route's: 0 is the most urgent, 9 the least.
 auto urgency_of(ServiceTenant const* tenant, Route const& route) -> int;
 
 }  // namespace dockrock
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -1,4 +1,4 @@
-// Which replica gets a request: the filters, then the least busy. docs/design.md sections 9.3 and 9.7.
+// Choice of a replica for a request: the filters, then the least busy one. docs/design.md sections 9.3 and 9.7.
 #include "scheduling/placement_cost.hpp"
 #include "ticket/granting.hpp"
 
@@ -8,7 +8,7 @@
 
 constexpr auto replica_filters = filter_names.size();
 
-// Requests that share a prefix have the same order of replicas; those without one are spread.
+// Seed of the hash order of replicas: the same for requests that share a prefix, different for those without one.
 auto spreading_seed(Ticket const& ticket, std::string const& node) -> std::uint64_t {
     if (!ticket.chain.empty() || !ticket.parts_alone) return ticket.affinity != 0 ? ticket.affinity : ticket.number;
     return hash_text(node, ticket.number);
@@ -27,7 +27,7 @@
     return tokens;
 }
 
-// Replicas that pass all filters. Where only failing ones would, they are better than none.
+// Replicas that pass all filters; if there are none, those that only fail the health check.
 auto Granting::candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
@@ -54,7 +54,8 @@
     return least_requests(found, waiting.ticket, now);
 }
 
-// Running over capacity, in steps where options say so; ties go to the longest kept prefix, then to a hash.
+// Least running requests relative to capacity, compared in `load_steps` if set; ties are broken by the longest
+// cached prefix, then by a hash.
 auto Granting::least_requests(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now)
     const -> ReplicaState const* {
     auto const seed = options.work_outstanding ? spreading_seed(ticket, burden.self)
@@ -86,7 +87,7 @@
     return best;
 }
 
-// The longest run that replicas of the same weights keep, and the longest that a store has for them.
+// The longest prefix cached by replicas of these weights, and the longest that a store has for them.
 auto Granting::kept_runs(Ticket const& ticket, std::uint64_t weights_mark) const -> KeptRuns {
     auto runs = KeptRuns{weights_mark};
     for (auto const* state : burden.pool(ticket.body.model)) {
@@ -106,7 +107,7 @@
     return runs;
 }
 
-// The least work to wait for before the first token; ties go by the hash of the shared prefix.
+// Least work before the first token; ties are broken by the hash of the shared prefix.
 auto Granting::least_work(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
     -> ReplicaState const* {
     auto const seed = spreading_seed(ticket, burden.self);
@@ -143,7 +144,7 @@
     return best;
 }
 
-// Tokens a second: what was observed of the service, else the default.
+// Prefill rate in tokens a second: the service's estimate if there is one, else the default.
 auto Granting::reading_rate(std::string const& model) const -> double {
     auto const found = options.observe_rates ? reading_rates.find(model) : reading_rates.end();
     auto const observed = found == reading_rates.end() ? std::nullopt : found->second.observed();
@@ -152,7 +153,7 @@
 
 auto Granting::first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void {
     burden.first_output(placement.replica, ticket.number);
-    // What waited behind other prompts says nothing of the speed of reading.
+    // A request that waited behind other prompts is no sample of the prefill rate.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
         reading_rates[ticket.body.model].add(placement.tokens_to_read, took);
 }
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -1,10 +1,10 @@
-// What is known of a replica's prompt work and outcomes, and the filters that a request's replica passes.
+// A replica's prefill work and outcomes as known here, and the filters that decide whether it can take a request.
 // docs/design.md sections 9.3, 9.4 and 9.11.
 #include "ticket/burden.hpp"
 
 namespace dockrock {
 
-// Prompt tokens placed there by anyone whose reading is not known to be over.
+// Prompt tokens placed there by any node whose prefill is not known to be finished.
 auto BurdenTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
     if (now - state.told_oldest <= options.digest_lost) return sum + state.told_unread;
--- a/source/scheduling/options.cpp
+++ b/source/scheduling/options.cpp
@@ -16,7 +16,7 @@
     Target target;
     double least = 0.0;
     double most = 0.0;
-    std::int64_t unit = 1;  // what the value is multiplied by: microseconds in a millisecond, for times
+    std::int64_t unit = 1;  // factor from the value to the field: microseconds per millisecond, for times
 };
 
 constexpr auto option_table = std::to_array<Option>(
--- a/source/scheduling/placement_cost.hpp
+++ b/source/scheduling/placement_cost.hpp
@@ -1,36 +1,36 @@
 #pragma once
-// What a request would wait for at one replica before its first token, in tokens of prompt. The paper's
-// "least busy by queue length relative to capacity", with the queue counted in the work that replicas are
-// short of. docs/design.md section 9.7.
+// Cost of placing a request on a replica: the work before its first token, in prompt tokens. It is the paper's
+// "least busy by queue length relative to capacity", with the queue length measured in prefill work, which is what
+// limits replicas. docs/design.md section 9.7.
 #include <algorithm>
 #include <cstdint>
 
 namespace dockrock {
 
-// One replica as one request sees it. All but the last two are tokens.
+// The state of one replica for one request. All but the last two are tokens.
 struct PlacementView {
-    std::int64_t outstanding = 0;  // placed there by anyone and not read yet
+    std::int64_t outstanding = 0;  // prompts placed there by any node, not prefilled yet
     std::int64_t prompt = 0;       // of this request
-    std::int64_t kept = 0;         // leading run of the prompt that the replica keeps
-    std::int64_t movable = 0;      // longest leading run that a peer or a store could move there
-    std::int64_t best_kept = 0;    // longest leading run that any replica keeps
-    std::int64_t shared = 0;       // leading run that other requests may ask for again
-    std::int64_t queued = 0;       // requests that would wait there for a place to run
-    bool home = false;             // where the shared run is read first
+    std::int64_t kept = 0;         // prefix of the prompt that the replica has cached
+    std::int64_t movable = 0;      // longest prefix that a peer or a store could transfer there
+    std::int64_t best_kept = 0;    // longest prefix that any replica has cached
+    std::int64_t shared = 0;       // prefix that other requests may share
+    std::int64_t queued = 0;       // requests that would wait there for a free place
+    bool home = false;             // the replica that a prefix cached nowhere is placed on first
 };
 
 struct PlacementRates {
-    double move_share = 0.1;  // time to move a token over time to read one
-    double copy_cost = 8.0;   // work that a token of a further copy counts for: it takes memory from others
+    double move_share = 0.1;  // time to transfer a token over time to prefill one
+    double copy_cost = 8.0;   // cost of each token of a further copy: it takes cache memory from other prefixes
 };
 
-// Tokens of the prompt that the replica would have to read itself.
+// Tokens of the prompt that the replica would have to prefill itself.
 constexpr auto tokens_to_read(PlacementView const& view) -> std::int64_t {
     return std::max<std::int64_t>(0, view.prompt - std::max(view.kept, view.movable));
 }
 
-// Tokens of shared prefix that this placement would keep in one more place than needed: of what others keep
-// already, and, where nobody keeps the rest, all but the home.
+// Tokens of shared prefix of which this placement makes a redundant copy: those that another replica has cached,
+// and, except at the home replica, those that no replica has cached.
 constexpr auto tokens_copied(PlacementView const& view) -> std::int64_t {
     auto const known = std::max<std::int64_t>(0, view.best_kept - view.kept);
     auto const unknown = std::max<std::int64_t>(0, view.shared - std::max(view.best_kept, view.kept));
--- a/source/scheduling/reading_rate.hpp
+++ b/source/scheduling/reading_rate.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How fast the replicas of a service read prompts, estimated from what streams show: a straight line
-// through times to the first token by tokens read, older samples counting less. docs/design.md section 9.10.
+// Estimate of a service's prefill rate from its streams: a linear regression of the time to the first token over
+// the tokens prefilled, with exponentially decaying weights. docs/design.md section 9.10.
 #include <cstdint>
 #include <optional>
 
@@ -9,15 +9,15 @@
 namespace dockrock {
 
 struct ReadingRate {
-    static constexpr double forgetting = 0.98;  // weight of a sample after the next one: about 50 count
+    static constexpr double forgetting = 0.98;  // decay of the weights with each sample: about 50 samples count
     static constexpr double least_samples = 12.0;
-    static constexpr double least_rate = 1e3;  // tokens a second; outside these a line says nothing
+    static constexpr double least_rate = 1e3;  // tokens a second; a slope outside of these is not used
     static constexpr double most_rate = 1e7;
-    static constexpr double least_spread = 500.0;  // tokens, standard deviation: alike prompts give no slope
+    static constexpr double least_spread = 500.0;  // standard deviation, tokens: similar prompts give no reliable slope
 
-    // `tokens` were read before the first token came, `took` after the request was sent.
+    // Adds a sample: `tokens` were prefilled and the first token came `took` after the request was sent.
     auto add(std::int64_t tokens, Microseconds took) -> void;
-    // Tokens a second; nothing where the samples are few, alike or give no sensible line.
+    // Tokens a second; nullopt if the samples are too few, too similar or give no plausible slope.
     auto observed() const -> std::optional<double>;
 
    private:
@@ -27,7 +27,7 @@
     double sum_seconds = 0.0;
     double sum_squares = 0.0;
     double sum_products = 0.0;
-    double rate = 0.0;  // 0: not observed
+    double rate = 0.0;  // 0: no estimate
 };
 
 }  // namespace dockrock
--- a/source/scheduling/replica_health.hpp
+++ b/source/scheduling/replica_health.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Leaves out replicas that fail requests, by the outcomes that all nodes saw. A replica that was left out is
-// tried again after a while, and left out for longer if it still fails. docs/design.md section 9.11.
+// Outlier ejection: excludes replicas that fail requests, by the outcomes that all nodes have seen. An ejected
+// replica is used again after a pause, and ejected for longer if it still fails. docs/design.md section 9.11.
 #include <algorithm>
 #include <cstdint>
 
@@ -8,18 +8,18 @@
 
 namespace dockrock {
 
-// How tries at one replica ended within the last `outcome_window`, at all nodes.
+// Outcomes of the tries at one replica within the last `outcome_window`.
 struct Outcomes {
-    std::int64_t ended = 0;   // answered or failed
-    std::int64_t failed = 0;  // of these; a refusal before the run is no failure
+    std::int64_t ended = 0;   // tries that were answered or failed
+    std::int64_t failed = 0;  // of these; refusing a request without running it is not a failure
 };
 
 inline constexpr Microseconds outcome_window = 3 * one_second;
 
 struct ReplicaHealth {
     static constexpr std::int64_t least_failed = 3;
-    static constexpr std::int64_t failed_share = 4;  // one in so many
-    // The first pause is longer than the window, so that what was seen before it does not count after it.
+    static constexpr std::int64_t failed_share = 4;  // failing: at least one in so many tries
+    // The first pause is longer than the window, so that outcomes from before it don't count after it.
     static constexpr Microseconds first_pause = 4 * one_second;
     static constexpr Microseconds longest_pause = 32 * one_second;
 
@@ -27,7 +27,7 @@
     Microseconds pause = 0;
 
     auto usable(Microseconds now) const -> bool { return now >= left_out_until; }
-    // True where the replica is left out from now on.
+    // Updates the state from the recent outcomes. Returns whether the replica is ejected from now on.
     auto judge(Outcomes const& seen, Microseconds now) -> bool {
         if (!usable(now)) return false;
         auto const failing = seen.failed >= least_failed && seen.failed * failed_share >= seen.ended;
--- a/source/ticket/answering.cpp
+++ b/source/ticket/answering.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 auto PieceReader::take(std::string_view bytes) -> std::string {
-    auto const searched = rest.size();  // no line ends in what is left of earlier bytes
+    auto const searched = rest.size();  // the rest of earlier bytes has no line end
     rest.append(bytes);
     std::string whole;
     auto begin = std::size_t{0};
--- a/source/ticket/answering.hpp
+++ b/source/ticket/answering.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The order of an answer's pieces. Pure: the connection and the simulator both
-// run this. docs/design.md section 10.
+// Reads a response that comes as numbered pieces. Without I/O: the connection and the simulator run the same
+// code. docs/design.md section 10.
 #include <optional>
 #include <string>
 #include <string_view>
@@ -9,7 +9,8 @@
 
 namespace dockrock {
 
-// Checks the numbering of the pieces as they pass: nothing lost, nothing twice.
+// Checks that no piece is lost or repeated. Each piece is a line of JSON with its number ("piece"); the last line
+// has their count ("pieces").
 struct PieceReader {
     std::string rest;
     std::uint64_t next = 0;
@@ -18,7 +19,7 @@
 
     static constexpr auto line_limit = std::size_t{1U << 20U};  // bytes
 
-    auto take(std::string_view bytes) -> std::string;  // whole lines to relay
+    auto take(std::string_view bytes) -> std::string;  // returns the valid whole lines, to be relayed
 };
 
 }  // namespace dockrock
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -11,7 +11,7 @@
         named.insert(entry.name);
         auto& state = replicas[entry.name];
         if (!state.entry.address.empty() && state.entry.address != entry.address) {
-            state.report.reset();  // another process under this name: asked before use
+            state.report.reset();  // another process of this name: needs a report first
             state.kept.clear();
             state.kept_unsure = true;
         }
@@ -19,7 +19,7 @@
         state.entry = entry;
     }
     for (auto place = replicas.begin(); place != replicas.end();) {
-        if (!named.contains(place->first)) place->second.entry.drain = true;  // gone from the list: nothing new
+        if (!named.contains(place->first)) place->second.entry.drain = true;  // delisted: no new requests
         if (!named.contains(place->first) && place->second.placed.empty()) place = replicas.erase(place);
         else ++place;
     }
@@ -38,7 +38,7 @@
         state.kept_unsure = false;
         state.next_event = restarted ? 0 : state.next_event;
     }
-    if (report.first_event > state.next_event) {  // a gap: what we hold may be gone, so it does not count
+    if (report.first_event > state.next_event) {  // missed events: entries may have been evicted
         state.kept.clear();
     }
     for (auto const& event : report.events) {
@@ -85,7 +85,7 @@
     judge_health(now);
 }
 
-// What this node tells of its own placements, replica by replica.
+// This node's own load on each replica, as reported to other nodes.
 auto BurdenTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>> {
     std::vector<std::pair<std::string, OtherBurden>> told;
     for (auto& [name, state] : replicas) {
@@ -176,7 +176,7 @@
     return best;
 }
 
-// What is known of a replica's weights where it reports nothing else.
+// Weights of a replica that sends no reports of its own; stands in for a report.
 auto BurdenTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
@@ -193,14 +193,14 @@
     state.kept_unsure = false;
 }
 
-// A replica's own word that it did not run something, and why.
+// The replica refused a request without running it.
 auto BurdenTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
     if (reason == "busy" || reason == "memory") state.paused_until = now + options.refused_pause;
     if ((reason == "weights" || reason == "restarted") && state.report) {
-        state.report->changing = true;  // until it says what it serves
+        state.report->changing = true;  // until it reports what it serves
         state.kept_unsure = true;
     }
 }
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Burden of the replicas, derived: own placements, digests of other admitting
-// nodes, late memory reports. docs/design.md section 9.3.
+// Load of the replicas as one node knows it: its own placements, load digests of the other nodes, and the
+// replicas' delayed memory reports. docs/design.md section 9.3.
 #include <deque>
 #include <set>
 #include <unordered_map>
@@ -21,7 +21,7 @@
     std::int64_t capacity = 1;
     std::int64_t memory = 0;
     bool drain = false;
-    std::map<std::string, std::int64_t> weights;  // version by model, where the list tells it
+    std::map<std::string, std::int64_t> weights;  // version by model, where the list has it
 };
 struct ServiceEntry {
     std::string address;
@@ -32,6 +32,7 @@
     std::optional<ServiceEntry> application;
     std::optional<ServiceEntry> store;
 };
+// A change of a replica's prefix cache.
 struct PrefixEvent {
     std::uint64_t number = 0;
     std::string kind;  // "kept", "dropped" or "cleared"
@@ -43,22 +44,24 @@
     bool changing = false;
     std::int64_t free_memory = 0;
     std::uint64_t fence = 0;
-    std::uint64_t first_event = 0;  // number of the first event told here
+    std::uint64_t first_event = 0;  // number of the first event in this report
     std::uint64_t next_event = 0;
     std::vector<PrefixEvent> events;
 };
 
+// The check that rules a replica out for a request; `passed`: none does.
 enum class Filter : int { available, reachable, busy, memory, capacity, weights, failing, passed };
 inline constexpr auto filter_names = std::to_array<std::string_view>(
     {"available", "reachable", "busy", "memory", "capacity", "weights", "failing", "passed"});
 
+// One node's load on one replica, as its digest reports it.
 struct OtherBurden {
     std::int64_t count = 0;
     std::int64_t slots = 0;
     std::int64_t memory = 0;
-    std::int64_t recent = 0;  // placed in the second before the digest
-    std::int64_t unread = 0;  // prompt tokens placed and not read yet
-    std::int64_t ended = 0;   // outcomes within their window
+    std::int64_t recent = 0;  // requests placed in the second before the digest
+    std::int64_t unread = 0;  // prompt tokens placed, prefill not finished
+    std::int64_t ended = 0;   // tries that ended within `outcome_window`
     std::int64_t failed = 0;
 };
 
@@ -68,55 +71,55 @@
         std::int64_t slots = 1;
         std::int64_t memory = 0;
         Microseconds at = 0;
-        std::int64_t unread = 0;  // prompt tokens that the replica has still to read
+        std::int64_t unread = 0;  // prompt tokens that the replica has yet to prefill
     };
     struct Outcome {
         Microseconds at = 0;
         bool failed = false;
     };
     std::map<std::uint64_t, Placed> placed;
-    std::int64_t placed_slots = 0;  // sums over `placed`, and over what came since the report was asked for
+    std::int64_t placed_slots = 0;  // sums over `placed`; placed_since: memory placed since reported_at
     std::int64_t placed_memory = 0;
     std::int64_t placed_since = 0;
     std::int64_t placed_unread = 0;
-    std::deque<Outcome> outcomes;  // of own tries, within their window
+    std::deque<Outcome> outcomes;  // of own tries, within `outcome_window`
     ReplicaHealth health;
-    std::vector<Microseconds> recent;  // times of own placements, last second
+    std::vector<Microseconds> recent;  // times of own placements in the last second
     std::int64_t untold = 0;           // own placements since the last digest
-    Microseconds paused_until = 0;     // it refused for want of room
+    Microseconds paused_until = 0;     // it refused a request as busy or out of memory
     std::optional<ReplicaReport> report;
-    Microseconds reported_at = 0;  // when the report was asked for
+    Microseconds reported_at = 0;  // when the report was requested
     Microseconds unreachable_until = 0;
     bool unreachable = false;
-    std::set<std::uint64_t> kept;  // prefix chains, under the reported weights
+    std::set<std::uint64_t> kept;  // cached prefix chains, for the reported weights
     bool kept_unsure = true;
-    std::unordered_map<std::uint64_t, std::uint64_t> parts;  // kept single parts, by part and weights -> weights
-    std::uint64_t weights_mark = 0;                          // hash of the weights it holds now
+    std::unordered_map<std::uint64_t, std::uint64_t> parts;  // cached single parts: part ^ weights hash -> weights hash
+    std::uint64_t weights_mark = 0;                          // hash of the weights that it serves now
     std::uint64_t next_event = 0;
 
-    // What other nodes' digests say of this replica, kept here so that no
-    // placement looks through the digests (design 9.4).
+    // Another node's load on this replica. Held for each replica, so that a placement need not search the
+    // digests of all nodes (design 9.4).
     struct Told {
-        std::uint64_t node = 0;   // number of the digest's node
-        std::uint64_t order = 0;  // of that node for this replica's last places
+        std::uint64_t node = 0;   // Digest::node
+        std::uint64_t order = 0;  // breaks ties for this replica's last places
         Microseconds at = 0;
         std::int64_t slots = 0;
         std::int64_t memory = 0;
         std::int64_t recent = 0;
-        std::int64_t unreported = 0;  // memory that a report from before may not show
+        std::int64_t unreported = 0;  // memory that an older report may not include
         std::int64_t unread = 0;
         std::int64_t ended = 0;
         std::int64_t failed = 0;
     };
     std::vector<Told> told;
-    std::int64_t told_slots = 0;  // sums over `told`
+    std::int64_t told_slots = 0;  // sums over the loads of other nodes
     std::int64_t told_memory = 0;
     std::int64_t told_unread = 0;
-    std::int64_t told_unreported = 0;  // of those told since the report was asked for
-    Microseconds told_oldest = 0;      // none of `told` is older; brought up now and then
+    std::int64_t told_unreported = 0;  // of the loads newer than reported_at
+    Microseconds told_oldest = 0;      // lower bound of their times, raised from time to time
     std::uint64_t seed = 0;            // hash of its name
-    Load summed;                       // what a relay says of all others together (design 9.8)
-    // Active nodes whose order is below `orders_mine`; counted anew where the set of them changed.
+    Load summed;                       // sum over all other nodes, from a relay (design 9.8)
+    // Active nodes whose tie-break hash is below `orders_mine`; recounted when the set of active nodes changes.
     mutable std::int64_t orders_below = 0;
     mutable std::uint64_t orders_mine = 0;
     mutable std::uint64_t orders_known = 0;
@@ -126,11 +129,11 @@
     auto sum_told() -> void;
 };
 
-// A relay's word, read: a whole sum or what makes one of the sum held.
+// A load sum received from a relay: whole, or as the difference from sum number `base`.
 struct SumTold {
     std::uint64_t number = 0;
     std::uint64_t base = 0;
-    std::uint64_t echo = 0;
+    std::uint64_t echo = 0;     // the newest of this node's reports that is in the sum
     std::int64_t echo_age = 0;  // milliseconds
     std::int64_t nodes = 0;
     std::string_view body;
@@ -140,43 +143,43 @@
     SchedulingOptions options;
     std::string self;
     std::map<std::string, ReplicaState> replicas;
-    std::map<std::string, std::vector<ReplicaState const*>, std::less<>> pools;  // by model, in the order of names
+    std::map<std::string, std::vector<ReplicaState const*>, std::less<>> pools;  // by model, sorted by name
     struct Digest {
-        std::uint64_t node = 0;  // stands for the node's name in ReplicaState::Told
+        std::uint64_t node = 0;  // number that stands for the node's name
         std::uint64_t number = 0;
         Microseconds at = 0;
         std::map<std::string, OtherBurden> replicas;
     };
     std::map<std::string, Digest> others;
-    std::int64_t others_active = 0;  // whose digest names a replica
-    Microseconds others_oldest = 0;  // none of these is older
+    std::int64_t others_active = 0;  // nodes whose digest names a replica
+    Microseconds others_oldest = 0;  // lower bound of the times of their digests
     Microseconds swept_at = 0;
-    std::uint64_t active_changes = 1;  // counts changes of the set of these
+    std::uint64_t active_changes = 1;  // number of changes of the set of active nodes
     std::uint64_t digest_number = 0;
-    std::uint64_t nodes_told = 0;  // numbers given to nodes that told
+    std::uint64_t nodes_told = 0;  // last number given to a node
 
-    // Load through relays: the last sum heard, and what this node told lately.
+    // Load reporting through relays: the last sum received, and this node's own recent reports.
     struct Summed {
         std::string relay;
         std::uint64_t number = 0;
-        std::uint64_t echo = 0;  // of this node's own words, the newest that is in the sum
+        std::uint64_t echo = 0;  // the newest of this node's reports that is in the sum
         Microseconds at = 0;
-        std::int64_t nodes = 0;  // others in it
-        Loads loads;             // as the relay told them
+        std::int64_t nodes = 0;  // other nodes in the sum
+        Loads loads;             // as received from the relay
     };
     bool relayed = false;
-    std::int64_t fleet_nodes = 1;  // held alive, for as long as no relay says more
+    std::int64_t fleet_nodes = 1;  // nodes assumed alive while no relay reports more
     Summed summed;
     std::deque<std::pair<std::uint64_t, Loads>> own_told;
 
     BurdenTable() = default;
-    BurdenTable(BurdenTable&&) = default;  // `pools` points into `replicas`: moved, never copied
+    BurdenTable(BurdenTable&&) = default;  // move-only: `pools` points into `replicas`
     auto operator=(BurdenTable&&) -> BurdenTable& = default;
 
     auto take_list(ReplicaList const& list) -> void;
     auto take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void;
     auto take_weights(std::string const& name, std::string const& weights, bool loading) -> void;
-    // A replica's late word of one kept part; a gap or a new life forgets all that was told.
+    // An event of a replica's prefix cache. After a gap or a restart call forget_parts.
     auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool kept) -> void {
         take_part(name, part, hash_text(weights), kept);
     }
@@ -187,20 +190,22 @@
     auto make_digest(Microseconds now) -> std::string;
     auto make_told(std::uint64_t number, Microseconds now) -> std::string;
     auto take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void;
-    // `unread`: tokens of the prompt that the replica has to read itself.
+    // `unread`: prompt tokens that the replica has to prefill itself.
     auto place(
         std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread = 0)
         -> void;
-    // The prompt has been read: the first output came.
+    // The prefill is over: the first output has arrived.
     auto first_output(std::string const& name, std::uint64_t ticket) -> void;
     auto ended(std::string const& name, bool failed, Microseconds now) -> void;
     auto release(std::string const& name, std::uint64_t ticket) -> void;
 
+    // Slots in use, by all nodes; `reserve`: slots that others may have taken since their digests.
     auto running(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
+    // Tokens of the request's prefix that the replica has cached.
     auto kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t;
     auto check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
     auto check_apart_from_health(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
@@ -224,7 +229,7 @@
     auto rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t;
 };
 
-// One chain under one weights name; memory of other weights never matches.
+// A prefix chain as events write it; cache entries of other weights never match.
 inline auto chain_text(std::uint64_t chain) -> std::string { return std::to_string(chain); }
 
 }  // namespace dockrock
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -1,5 +1,5 @@
-// How much room a replica has: sums over own placements and over what other
-// nodes told, kept as they change. docs/design.md section 9.4.
+// Free capacity of a replica, from incrementally updated sums over this node's placements and the loads that
+// other nodes reported. docs/design.md section 9.4.
 #include <algorithm>
 
 #include "ticket/burden.hpp"
@@ -34,7 +34,7 @@
 
 namespace {
 
-// Each node tells of a replica once; its order for the last places stays.
+// Adds or replaces one node's load on the replica; its tie-break hash stays the same.
 auto tell(ReplicaState& state, std::string const& node, BurdenTable::Digest const& digest, OtherBurden const& item)
     -> void {
     auto found =
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-// A replica that was not listed before: others may have told of it already.
+// For a replica that is newly listed: other nodes may have reported load on it before.
 auto BurdenTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
     state.seed = hash_text(name);
     for (auto const& [node, digest] : others)
@@ -94,8 +94,8 @@
     ++active_changes;
 }
 
-// A digest that is lost counts for nothing: what it said is dropped, its number
-// is kept, so that an older one is still known as such. Now and then only.
+// Drops the loads of nodes whose digests have stopped. The digest's number stays, so that an older digest that
+// arrives late is still ignored. Runs at most once a second, and only if a digest is old enough.
 auto BurdenTable::forget_lost(Microseconds now) -> void {
     if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
@@ -120,7 +120,7 @@
 
 auto BurdenTable::active_nodes(Microseconds now) const -> std::int64_t {
     auto count = std::int64_t{1};
-    // A relay's silence is not its nodes' end: without a sum they are taken to be there.
+    // A silent relay does not mean that its nodes are gone: without a sum they are assumed to be active.
     if (relayed) count += summed_lost(now) ? std::max(summed.nodes, fleet_nodes - 1) : summed.nodes;
     if (others_active == 0 || now - others_oldest < options.digest_lost) return count + others_active;
     for (auto const& [node, digest] : others)
@@ -136,8 +136,8 @@
     return sum;
 }
 
-// What others may have placed since they last told: their recent rate over the
-// digest's age, and the rest of their slice once it is old (design 9.4).
+// Slots that other nodes may have taken since their last digests: their recent rate times the digest's age, or
+// all that remains of their share of the replica once the digest is old (design 9.4).
 auto BurdenTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = std::int64_t{0};
     auto slice = std::int64_t{-1};
@@ -175,12 +175,12 @@
     return std::min(free, reported);
 }
 
-// How many other nodes come before this one for a replica's last places: those
-// with the fewest there first, since a fixed order starves a node.
+// The number of other nodes that precede this one for a replica's last places. Nodes with the fewest slots there
+// come first, since a fixed order would starve a node.
 auto BurdenTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const mine = hash_text(self, state.seed);
     auto rank = std::int64_t{0};
-    if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some of them are lost
+    if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some digests are lost
         for (auto const& [node, digest] : others) {
             if (now - digest.at >= options.digest_lost || digest.replicas.empty()) continue;
             auto const found = digest.replicas.find(state.entry.name);
@@ -196,7 +196,7 @@
         state.orders_known = active_changes;
         state.orders_mine = mine;
     }
-    // As if nobody had anything there; then those who have.
+    // First as if no node had load there, then corrected for the nodes that do.
     rank = own == 0 ? state.orders_below : own > 0 ? others_active : 0;
     for (auto const& item : state.told) {
         auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
@@ -206,9 +206,8 @@
     return rank;
 }
 
-// Running no greater than four times the capacity, as the design asks; and
-// where little is left, the last places go to nodes by their rank for this
-// replica, one each between digests, so that not all take the same place.
+// There is room while no more than `multiplier` (four in the design) times the capacity is running. The last
+// places go to nodes by rank_for, one each between two digests, so that not all take the same place.
 auto BurdenTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
     auto const limit = options.multiplier * state.entry.capacity;
     auto const known = running(state, now);
@@ -219,7 +218,7 @@
     if (own >= std::max<std::int64_t>(1, limit / nodes) && known + reserve(state, now) > limit) return false;
     if (left > nodes || nodes == 1) return true;
     if (options.idle_open && 2 * left > limit) return true;
-    // Through relays a word takes longer than the time between two words.
+    // Through relays a report takes longer to arrive than the interval between two reports.
     auto const untold = relayed ? unseen(state) : state.untold;
     if (untold >= std::max<std::int64_t>(1, left / nodes)) return false;
     return rank_for(state, own, now) + (relayed ? summed_rank(state, own, now) : 0) < left;
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -1,5 +1,5 @@
-// Load through relays, at a node that places: its own words, the sums it hears
-// of all others, and what it does without one. docs/design.md section 9.8.
+// Load reporting through relays, on a node that places requests: its own reports, the sums over all other nodes
+// that it receives, and its assumptions without a sum. docs/design.md section 9.8.
 #include <algorithm>
 
 #include "ticket/burden.hpp"
@@ -23,11 +23,11 @@
     return text;
 }
 
-// The sum of all, less this node's own word that is in it.
+// Takes the sum over all nodes and subtracts this node's own report that is in it.
 auto BurdenTable::take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void {
     auto const same = relay == summed.relay;
-    if (same && told.number < summed.number && now - summed.at <= options.digest_old) return;  // a late one
-    if (told.base != 0 && (!same || told.base != summed.number)) return;                       // of no sum held
+    if (same && told.number < summed.number && now - summed.at <= options.digest_old) return;  // arrived out of order
+    if (told.base != 0 && (!same || told.base != summed.number)) return;  // its base sum isn't held
     auto loads = told.base == 0 ? read_loads(told.body) : apply_loads_difference(summed.loads, told.body);
     if (!loads) return;
     summed.relay = relay;
@@ -40,7 +40,7 @@
     auto const counted = own != own_told.end() && !own->second.empty();
     summed.nodes = std::max<std::int64_t>(0, told.nodes - (counted ? 1 : 0));
     auto item = summed.loads.begin();
-    for (auto& [name, state] : replicas) {  // both in the order of names
+    for (auto& [name, state] : replicas) {  // both are sorted by name
         while (item != summed.loads.end() && item->name < name) ++item;
         auto const found = item != summed.loads.end() && item->name == name;
         state.summed = found ? item->load : Load();
@@ -57,8 +57,8 @@
     return summed.number == 0 || now - summed.at > options.digest_lost;
 }
 
-// As for single digests: their rate since they told, or the rest of their slices
-// where their word is old. Without a sum all but this node's slice is theirs.
+// As `reserve` for single digests: the other nodes' rate since their reports, or all that remains of their shares
+// where these are old. Without a sum, everything but this node's own share counts as taken.
 auto BurdenTable::summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const
     -> std::int64_t {
     if (summed_lost(now)) return std::max<std::int64_t>(0, options.multiplier * state.entry.capacity + 1 - slice);
@@ -69,14 +69,14 @@
         (load.aged * one_millisecond + load.recent * age + one_second / 2) / one_second;
 }
 
-// Own placements that no sum held shows yet.
+// Own placements that are not in the last sum yet.
 auto BurdenTable::unseen(ReplicaState const& state) const -> std::int64_t {
     auto const seen = static_cast<Microseconds>(summed.echo);
     return std::count_if(state.recent.begin(), state.recent.end(), [&](auto at) { return at > seen; });
 }
 
-// How many of the nodes in the sum come before this one for a replica's last
-// places. Who has how many there is not told: taken as spread evenly.
+// As rank_for, for the nodes in the sum. A sum does not say how many slots each node has there, so they are
+// assumed to be spread evenly.
 auto BurdenTable::summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const nodes = static_cast<double>(active_nodes(now) - 1 - others_active);
     auto const order = static_cast<double>(hash_text(self, state.seed) >> 11U) / static_cast<double>(1ULL << 53U);
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -25,7 +25,7 @@
     return Step::finished;
 }
 
-// By the end alone, not by what is decided of it.
+// Derived from the try's end alone, independently of the retry decision.
 auto surely_not_run(TryEnd end) -> bool {
     return end == TryEnd::did_not_run || end == TryEnd::seen_before || end == TryEnd::not_sent ||
         end == TryEnd::not_written;
@@ -39,7 +39,7 @@
     return facts;
 }
 
-// Once a try may have run, giving up is no longer a refusal (design 10.1).
+// Ends the request without another try. Not a refusal if a try may have run (design 10.1).
 auto Course::give_up(std::string reason, std::int64_t retry_after) const -> CourseStep {
     CourseStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
@@ -56,7 +56,7 @@
 
 auto Course::placed(Placement given, CourseFacts const& facts) -> CourseStep {
     placement = std::move(given);
-    // A claim got long ago may have been forgotten since: a frozen node asks anew.
+    // An old claim may have expired at the leader: a node that was suspended claims again.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
     if (needs_claim() && !claim_held) return {Step::claim};
     return last_checks(facts);
@@ -73,17 +73,17 @@
     auto step = CourseStep();
     if (state == ClaimState::seen) {
         step.step = Step::answer_seen;
-    } else {  // its fate is not known, and so the ticket is never sent
+    } else {  // it is unknown who holds the claim, so the request is never sent
         step = give_up(state == ClaimState::full ? "claims-full" : "no-claim", state == ClaimState::full ? 30 : 2);
     }
     step.give_back = placement.replica;
     return step;
 }
 
-// Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
+// Checks the rules, the deadline, the replica and the proof's age right before sending (design 8.3, 8.4).
 auto Course::last_checks(CourseFacts const& facts) -> CourseStep {
     if (facts.rules != rules) return {Step::interpret};
-    if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
+    if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // no time is left for the replica
         auto step = give_up("deadline", 1);
         step.give_back = placement.replica;
         return step;
@@ -92,7 +92,7 @@
     return enter_back();
 }
 
-// Nothing was sent: no extra try, and no new ticket either.
+// Queues it again. Nothing was sent: neither a retry nor a new request for the retry budget.
 auto Course::enter_back() -> CourseStep {
     avoid.reset();
     ticket.counted = true;
@@ -120,11 +120,11 @@
         return step;
     }
     take_rules(verdict.ticket);
-    if (ticket.body.run_once && history.may_have_run) {  // what was repeatable no longer is
+    if (ticket.body.run_once && history.may_have_run) {  // it was repeatable and no longer is
         step.step = step_for(retry::without_another_try(request_facts()));
         return step;
     }
-    // An answer that has begun is ended by the service that began it.
+    // A response that has begun is finished by the same service.
     auto const elsewhere = !history.output_begun && verdict.ticket.body.model != ticket.body.model;
     auto const moved =
         elsewhere || verdict.ticket.chain != ticket.chain || verdict.ticket.wall_domain != ticket.wall_domain;
@@ -138,7 +138,7 @@
     return enter_back();
 }
 
-// Rules that moved while a request waits may only make it stricter.
+// Rules that change while a request is queued can only restrict its retries further.
 auto Course::take_rules(Ticket const& judged_ticket) -> void {
     ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
     ticket.tries = std::min(ticket.tries, judged_ticket.tries);
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// A ticket's course: entry, wait, claim, last checks, tries, one outcome. A
-// value type: events in, the next step out; the connection and the simulator
-// drive the same. docs/design.md sections 8.3, 10 and 10.5.
+// State machine of one request: queueing, claim of its identity, checks before sending, tries, and exactly one
+// outcome. A value type without I/O: each event returns the next step. Connections and the simulator run the same
+// code. docs/design.md sections 8.3, 10 and 10.5.
 #include "base/messages.hpp"
 #include "ticket/answering.hpp"
 #include "ticket/granting.hpp"
@@ -11,15 +11,15 @@
 namespace dockrock {
 
 enum class Step : int {
-    enter,           // into the buffer; `avoid` is set where it is an extra try
-    claim,           // the identity, at the leader of the service's part
-    interpret,       // the rules moved: run them again
-    send,            // the try may go to its replica now
-    answer_shed,     // 503: did not run, never will
-    answer_refused,  // the rules refuse it now: did not run
+    enter,           // put it into the queue; `avoid` is set for a retry
+    claim,           // claim its identity at the leader of the service's partition
+    interpret,       // the rules changed: apply them again
+    send,            // send it to its replica now
+    answer_shed,     // 503: did not run and never will
+    answer_refused,  // the current rules refuse it: did not run
     answer_unknown,  // 502: may have run
-    answer_seen,     // 409: another ticket of this identity has it
-    answer_failure,  // the replica's own failure is passed on
+    answer_seen,     // 409: duplicate, another request has claimed this identity
+    answer_failure,  // pass the replica's error response on
     finished,
 };
 
@@ -27,34 +27,35 @@
     {"enter", "claim", "interpret", "send", "answer-shed", "answer-refused", "answer-unknown", "answer-seen",
      "answer-failure", "finished"});
 
+// What the connection has to do next.
 struct CourseStep {
     Step step = Step::finished;
-    std::string give_back;       // a replica whose place is not used
-    bool release_claim = false;  // it never ran: the identity is free again
+    std::string give_back;       // replica whose reserved place is to be released; empty: none
+    bool release_claim = false;  // it never ran: release the claim of its identity
     std::string reason;
     int status = 0;
     std::int64_t retry_after = 1;
 };
 
-// What a node knows at the moment of the last checks.
+// What a node knows when it makes the checks before sending.
 struct CourseFacts {
     Microseconds now = 0;
     Microseconds proof_age = 0;
     Microseconds proof_limit = dockrock::proof_limit;
-    Microseconds refusal_limit = dockrock::refusal_limit;  // older: the rules may refuse nothing
+    Microseconds refusal_limit = dockrock::refusal_limit;  // older: the rules are too stale to refuse anything
     Sequence rules;
-    bool listed = false;  // the placed replica is on the list, without a drain mark
+    bool listed = false;  // the chosen replica is on the list and not draining
 };
 
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
 struct Course {
     Ticket ticket;
-    Sequence rules;  // under which the ticket was judged last
+    Sequence rules;  // the configuration version that admitted the request
     Placement placement;
     int try_number = 1;
-    RetryRequest history;  // what the tries so far have left behind
-    int may_have_run = 0;  // tries so far, counted apart from the decisions, for the check of what is sent
+    RetryRequest history;  // what earlier tries imply for further ones
+    int may_have_run = 0;  // tries that may have run, counted independently for the invariant check before sending
     bool claim_held = false;
     Microseconds claimed_at = 0;
     std::uint64_t claim_term = 0;
@@ -65,13 +66,13 @@
     auto given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep;
     auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts) -> CourseStep;
     auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
-    // `limits` but for the tries, which are counted here.
+    // The current try has ended. `limits.tries_left` is set here.
     auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> CourseStep;
-    // The try was kept back right before it was written, as its rules, list or proof went on: nothing was sent, so
-    // it counts as no try.
+    // The rules, the replica list or the proof changed just before the request was written. Nothing was sent, so
+    // it does not count as a try.
     auto held_back() -> CourseStep { return enter_back(); }
-    auto gone() const -> CourseStep;
-    // The last checks once more, after what took time: a connection that is opened.
+    auto gone() const -> CourseStep;  // the client disconnected
+    // Repeats the checks before sending after a delay, such as opening a connection.
     auto may_be_sent(CourseFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
     }
@@ -85,8 +86,9 @@
     auto give_up(std::string reason, std::int64_t retry_after) const -> CourseStep;
 };
 
-// What is claimed: one identity of one tenant, at one model's part.
+// The key under which an identity is claimed: unique for model, tenant and identity.
 auto claim_key(Ticket const& ticket) -> std::string;
+// The claim's owner: one request of one node.
 auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string;
 
 }  // namespace dockrock
--- a/source/ticket/entry_table.hpp
+++ b/source/ticket/entry_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// The shared table between connections and matching: buffer, burden and who
-// waits for what, under one lock. What it locks with is injected, so that the
-// interleaving checker runs this very code. docs/design.md section 14.
+// Thread-safe admission: the scheduler and the connections that wait for its decisions, under one lock.
+// The mutex type is a parameter, so that the interleaving checker runs this same code.
+// docs/design.md section 14.
 #include <functional>
 #include <mutex>
 
@@ -17,6 +17,7 @@
 struct EntryTable {
     using Wake = std::function<void()>;
     using Guard = std::lock_guard<typename Primitives::Mutex>;
+    // A request that waits for its decision; `wake` is called when one is set.
     struct Entry {
         std::optional<Placement> placement;
         std::optional<Shed> shed;
@@ -27,8 +28,8 @@
     Granting granting;
     std::map<std::uint64_t, Entry> entries;
 
-    // `avoid` names the replica of an earlier try that did not run; then the
-    // entry is an extra try.
+    // Queues a request and runs the scheduler. `avoid` names the replica of an earlier try that did not run
+    // the request: this is then a retry, paid from the retry budget.
     auto enter(
         Ticket const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
         Microseconds proof_age) -> void {
@@ -41,38 +42,40 @@
         match_locked(now, proof_age);
     }
 
-    // Takes the entry out, with what was decided of it.
+    // Removes the request and returns its entry with the decision, if there is one.
     auto leave(std::uint64_t number) -> Entry {
         auto const guard = Guard(lock);
         return take(number);
     }
 
-    // Whether a placement or a refusal is there already.
+    // Whether the request has been placed or shed.
     auto decided(std::uint64_t number) -> bool {
         auto const guard = Guard(lock);
         auto const found = entries.find(number);
         return found != entries.end() && (found->second.placement || found->second.shed);
     }
 
-    // The caller went away: a placement that came meanwhile is given back.
+    // Removes the request of a client that disconnected, and releases a placement made in the meantime.
     auto abandon(std::uint64_t number) -> void {
         auto const guard = Guard(lock);
         auto const entry = take(number);
         if (entry.placement) granting.burden.release(entry.placement->replica, number);
     }
 
+    // Places queued requests; `proof_age`: time since the last proof that the configuration is current.
     auto match(Microseconds now, Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
         match_locked(now, proof_age);
     }
 
+    // As above; the caller holds `lock`.
     auto match_locked(Microseconds now, Microseconds proof_age) -> void {
         Decisions decisions;
         granting.match(now, proof_age, decisions);
         settle(decisions);
     }
 
-    // Anything else with the tables, under their lock.
+    // Runs `work` on the scheduler under the lock.
     template <typename Work>
     auto with(Work&& work) -> decltype(auto) {
         auto const guard = Guard(lock);
@@ -90,6 +93,7 @@
         return entry;
     }
 
+    // Hands decisions to the waiting connections; a placement that nobody waits for is released.
     auto settle(Decisions const& decisions) -> void {
         for (auto const& placement : decisions.placements) {
             auto const found = entries.find(placement.ticket);
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -1,10 +1,10 @@
-// The fetch planner: where a missing prefix may come from. docs/design.md 9.7.
+// Fetch planning: where a replica can get the prefix parts that it does not have cached. docs/design.md 9.7.
 #include "ticket/granting.hpp"
 
 namespace dockrock {
 
-// What was measured on that link, for a while; then the default is tried again,
-// so that a link that was slow once is not left unused for ever.
+// The speed measured on that link, for `link_memory`. After that the default applies again, so that a link that
+// was slow once does not stay unused for ever.
 auto Granting::link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double {
     auto const found = link_speeds.find({source, target});
     if (found == link_speeds.end() || now - found->second.at > options.link_memory)
@@ -44,8 +44,8 @@
     return best;
 }
 
-// Single parts: from whichever peer or store keeps the longest run beyond what
-// the target keeps, the nearer first; what no store keeps yet is sent to one.
+// For prefixes of single parts: the peer or store with the longest cached prefix beyond the target's own, in the
+// target's area if two are equal. Parts that a store does not have are also saved to it.
 auto Granting::plan_parts(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now)
     -> FetchPlan {
     FetchPlan best;
@@ -63,10 +63,10 @@
         if (state.weights_mark != target.weights_mark || !state.report || state.report->changing) continue;
         weigh(state.entry.address, state.entry.area, burden.kept_tokens(state, ticket));
     }
-    auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last is its own
+    auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last one isn't shared
     auto shared_tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index < shared; ++index) shared_tokens += ticket.body.prefix[index].tokens;
-    // All that is read goes there, the request's own part too: only where most of it is shared.
+    // Everything prefilled is saved, the request's own part included: worth it only if most of it is shared.
     auto const worth_saving =
         shared_tokens >= options.least_saved && 2 * shared_tokens >= ticket.prefix_tokens + ticket.prompt_tokens;
     for (auto& [name, store] : stores) {
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -29,7 +29,7 @@
 }
 
 auto Granting::expected_service(ModelBuffer const& buffer, Ticket const& ticket) const -> Microseconds {
-    // Half the usual time: only the hopeless are given up (design 9.5).
+    // Half of the average service time, so that only requests without a real chance are shed (design 9.5).
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
 }
 
@@ -58,8 +58,8 @@
     buffer.waiting.push_back({ticket, now, {}, 0});
 }
 
-// Only for a ticket that is known not to have run. Its extra try waits for the
-// budget a little; what the budget can't pay in time is given up (design 10.4).
+// Only for a request that may be sent once more (see retry_decision.hpp). It waits up to `owing_limit` for the
+// retry budget, and is shed if the budget can't cover it by then (design 10.4).
 auto Granting::enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void {
     buffers[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
 }
@@ -93,8 +93,8 @@
     return std::clamp(fair / used, 1.0 / options.share_bound, options.share_bound);
 }
 
-// (declared + wait) / declared, the paper's ratio with max tokens as the
-// declared size; share and rank bend it within bounds (design 9.2).
+// The paper's ratio (declared + wait) / declared, with max_tokens as the declared size, weighted within bounds by
+// the tenant's fair share and rank (design 9.2).
 auto Granting::score(Waiting const& waiting, Microseconds now) const -> double {
     auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.ticket.body.max_tokens));
     auto const wait = static_cast<double>(now - waiting.since) / 1'000'000.0 * options.wait_token_rate;
@@ -102,7 +102,7 @@
     return (declared + wait) / declared * share_factor(waiting.ticket.tenant_path, waiting.ticket.share, now) * rank;
 }
 
-// Takes a place for the request there, with what is known of it now.
+// Reserves a place for the request on the replica and records why it was chosen.
 auto Granting::place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
     auto const& ticket = waiting.ticket;
     auto placement = Placement{
@@ -187,7 +187,7 @@
         }
         return;
     }
-    if (proof_age > proof_limit) return;  // tickets wait; started answers go on
+    if (proof_age > proof_limit) return;  // requests stay queued; running ones go on
     for (auto& [model, buffer] : buffers)
         if (!buffer.waiting.empty()) match_model(model, buffer, now, decisions);
 }
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Granting entry: the waiting buffer and the match of tickets to replicas, by
-// the design of the paper. docs/design.md section 9.
+// The scheduler: queues of requests for each model, and the placement of queued requests on replicas, as in the
+// paper that the design follows. docs/design.md section 9.
 #include <algorithm>
 #include <array>
 #include <unordered_set>
@@ -10,25 +10,27 @@
 
 namespace dockrock {
 
-// Where nothing else is set (design 8.3).
+// Default age limits of the proof that the configuration is current (design 8.3).
 inline constexpr Microseconds proof_limit = 1'500 * one_millisecond;
 inline constexpr Microseconds proof_shed_limit = 4 * one_second;
 inline constexpr Microseconds refusal_limit = 1'800 * one_millisecond;
 
+// Where a replica fetches missing parts of a prefix cache from, before it runs a request.
 struct FetchPlan {
     std::string source;  // address of a peer replica or of the store; empty: recompute
     std::int64_t tokens = 0;
     Microseconds limit = 0;
-    std::string save_at;  // a store that the parts read are sent to; empty: none
+    std::string save_at;  // store to which the replica writes the prefilled parts; empty: none
 };
-// A store of kept parts, followed by its events.
+// What is known of a store of cached prefix parts, from its events.
 struct PartsStore {
     std::string address;
     std::string area;
     bool up = false;
-    std::unordered_set<std::uint64_t> parts;       // by part and weights
-    std::map<std::uint64_t, Microseconds> saving;  // lately sent there, not told of yet
+    std::unordered_set<std::uint64_t> parts;       // part ^ weights hash
+    std::map<std::uint64_t, Microseconds> saving;  // recently sent there, no event for it yet
 };
+// The decision to run a request on a replica.
 struct Placement {
     std::uint64_t ticket = 0;
     std::string replica;
@@ -37,25 +39,26 @@
     std::string incarnation;
     std::int64_t kept_tokens = 0;
     FetchPlan fetch;
-    // What was known when it was chosen, for logs and estimates.
-    std::int64_t tokens_to_read = 0;  // of its prompt: neither kept there nor moved
-    std::int64_t outstanding = 0;     // tokens of other prompts to be read there first
+    // State at the time of the decision, for logs and estimates.
+    std::int64_t tokens_to_read = 0;  // prompt tokens to prefill: neither cached there nor fetched
+    std::int64_t outstanding = 0;     // tokens of other prompts to be prefilled there first
     std::int64_t running = 0;         // requests there
-    std::int64_t best_kept = 0;       // longest run that any replica of these weights kept
-    std::optional<Filter> held_by;    // the filter that made it wait last
-    bool short_prompt = false;        // so little to read that it goes before other requests
+    std::int64_t best_kept = 0;       // longest prefix cached by any replica of these weights, in tokens
+    std::optional<Filter> held_by;    // the filter that last kept it queued
+    bool short_prompt = false;        // prefill so short that the request goes first at its replica
 };
-// The longest leading runs of a prompt that are kept under some weights, in tokens.
+// The longest cached prefixes of a prompt for one version of the weights, in tokens.
 struct KeptRuns {
     std::uint64_t weights_mark = 0;
     std::int64_t replicas = 0;
     std::int64_t stores = 0;
 };
-// Tokens of a prompt that other requests may ask for again: all parts but the last.
+// Tokens of the prefix that other requests may share: all parts but the last.
 auto shared_run(Ticket const& ticket) -> std::int64_t;
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
+// The decision to give a queued request up.
 struct Shed {
     std::uint64_t ticket = 0;
     ShedReason reason = ShedReason::deadline;
@@ -66,8 +69,8 @@
     std::vector<Shed> sheds;
 };
 
-// Extra tries: a fifth of a try for each ticket. The store is one for each node,
-// so that a fleet of about ten has a slack of about ten (design 10.4).
+// Token bucket for retries: each request adds a fifth of a retry. A node stores at most one, so that a fleet of
+// about ten nodes has a burst of about ten retries (design 10.4).
 struct TryBudget {
     double stored = 1.0;
     double most = 1.0;
@@ -77,18 +80,20 @@
     auto take() -> void { stored -= 1.0; }
 };
 
+// A request in the queue of its model.
 struct Waiting {
     Ticket ticket;
     Microseconds since = 0;
-    std::set<std::string> avoid;  // replicas that refused it
-    Microseconds owes_since = 0;  // an extra try that the budget has still to pay
+    std::set<std::string> avoid;  // replicas that refused it or failed
+    Microseconds owes_since = 0;  // a retry that waits for the retry budget since then; 0: none
     std::optional<Filter> held_by;
 };
+// The queue of one model and its measured rates.
 struct ModelBuffer {
     std::vector<Waiting> waiting;
-    double drain_rate = 0.0;  // tickets each second, while any wait
+    double drain_rate = 0.0;  // requests placed per second, while any are queued
     Microseconds drained_at = 0;
-    double service_each_token = 0.0;  // microseconds
+    double service_each_token = 0.0;  // microseconds per output token
     Microseconds empty_pool_since = 0;
 };
 
@@ -98,15 +103,15 @@
     std::map<std::string, ModelBuffer> buffers;
     std::size_t buffer_length = 256;
     TryBudget budget;
-    Microseconds proof_limit = dockrock::proof_limit;            // older: no new entry is granted
-    Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: tickets are shed at once
+    Microseconds proof_limit = dockrock::proof_limit;            // older: nothing is placed
+    Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: all queued requests are shed
     std::string store_address;
     std::map<std::string, PartsStore> stores;  // by the service's name
     struct LinkSpeed {
-        double rate = 0.0;  // tokens a second; a fetch that brought nothing halves it
+        double rate = 0.0;  // tokens a second; a fetch without result halves it
         Microseconds at = 0;
     };
-    std::map<std::pair<std::string, std::string>, LinkSpeed> link_speeds;  // source's address, receiving replica
+    std::map<std::pair<std::string, std::string>, LinkSpeed> link_speeds;  // source address, target replica
     struct Usage {
         double amount = 0.0;
         Microseconds at = 0;
@@ -120,8 +125,10 @@
     std::uint64_t extra_tries = 0;
 
     auto set_options(SchedulingOptions const& given) -> void { options = burden.options = given; }
+    // Queues a request. Sheds it if its deadline can't be met; if the queue is full, sheds it or one of lower rank.
     auto enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void;
     auto enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void;
+    // A fetch of prefix parts ended after `took`; `tokens`: what it brought.
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
@@ -130,10 +137,11 @@
     auto finished(
         std::string const& replica, Ticket const& ticket, Microseconds service, Microseconds now, bool answered)
         -> void;
-    // The first output came `took` after the request was sent: its prompt has been read.
+    // The first output came `took` after the request was sent: its prefill is over.
     auto first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void;
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
+    // Queued requests are placed in falling order of this.
     auto score(Waiting const& waiting, Microseconds now) const -> double;
     auto retry_after(ModelBuffer const& buffer) const -> std::int64_t;
     auto shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -1,19 +1,21 @@
 #pragma once
-// The small interpreter a ticket goes through. docs/design.md section 9.1.
+// Applies the compiled rules to an incoming request. docs/design.md section 9.1.
 #include "sequence/rules.hpp"
 #include "ticket/ticket.hpp"
 
 namespace dockrock {
 
-struct Arrival {  // what the connection saw
+// An incoming HTTP request.
+struct Arrival {
     std::string method;
     std::string path;
     std::string key;
     std::string_view body;
-    std::string tenant;  // from the header, for mappings without a ticket body
+    std::string tenant;  // from the header, for mappings without a JSON body
     Microseconds now = 0;
 };
 
+// What to do with the request: answer with `status`, queue the request, or forward it.
 struct Verdict {
     enum class Kind : int { answer, enter, forward };
     Kind kind = Kind::answer;
@@ -26,7 +28,7 @@
 
 auto interpret(Rules const& rules, Arrival const& arrival) -> Verdict;
 
-// Whether the key still opens the tenant under these rules (design 8.3).
+// Whether these rules still let the key use the tenant (design 8.3).
 auto key_holds(Rules const& rules, std::string const& key_hash, std::string const& tenant_path) -> bool;
 
 }  // namespace dockrock
--- a/source/ticket/retry_decision.hpp
+++ b/source/ticket/retry_decision.hpp
@@ -1,30 +1,30 @@
 #pragma once
-// Whether a request may go to a replica once more after a try has ended, and
-// what its client is told if not. No other place decides this: connections
-// report facts, the request's course asks here. docs/requests.md has the table.
+// Retry policy: whether a request may be sent to another replica after a try has ended, and what its client is
+// told if not. This is decided here only: connections report facts, and the request's state machine calls decide().
+// docs/requests.md has the table.
 #include <limits>
 
 #include "base/basics.hpp"
 
 namespace dockrock {
 
-// How much of a request had been handed to the network when its try ended. An
-// upper bound: a replica can't have more than this.
+// How much of a request had been handed to the network when its try ended: an upper bound of what the replica
+// can have received.
 enum class BytesWritten : int { not_connected, none, part_of_head, head, whole };
 
-// A reset on a reused connection proves nothing more than on a fresh one: the
-// replica may have read the request before it broke off.
+// A reset on a reused connection proves no more than on a fresh one: the replica may have read the request before
+// it closed the connection.
 enum class ConnectionUse : int { fresh, reused };
 
-// The most that had come back for this request.
+// The most that was received in response to this request.
 enum class Received : int {
-    nothing,            // silence, close, reset, bytes that form no answer, or only answers to other requests
-    not_run,            // the replica's word that it has not run this request and never will
-    seen_before,        // the same word; another request of this identity was taken
-    failure,            // the replica's own failure, whole
-    false_promise,      // a failure whose status promises "not run" without the replica's word for it
-    cut_before_output,  // the beginning of an answer; the client has none of it
-    cut_after_output,   // the client has a part of it
+    nothing,            // silence, close, reset, no valid response, or only responses to other requests
+    not_run,            // the replica states that it has not run this request and never will
+    seen_before,        // as not_run, since another request of this identity was accepted
+    failure,            // a complete error response of the replica
+    false_promise,      // an error status that means "not run" to clients, without the replica's statement
+    cut_before_output,  // a partial response; nothing of it was sent to the client
+    cut_after_output,   // a partial response; the client has a part of it
     complete,
 };
 
@@ -35,30 +35,30 @@
     ConnectionUse connection = ConnectionUse::fresh;
     Received received = Received::nothing;
     ClientState client = ClientState::waiting;
-    bool output_resumable = false;  // what the client has ends after a whole event
+    bool output_resumable = false;  // the client has only whole events
 };
 
-// How a try ended, as far as it matters to what may follow.
+// How a try ended, as far as retries depend on it.
 enum class TryEnd : int {
     answered,
     did_not_run,
     not_sent,     // no connection
-    not_written,  // connected, but the head never left whole
+    not_written,  // connected, but the head was not written whole
     unknown_before,
     broken_after,
     caller_gone,
-    broken_resumable,  // whole events went out, and another replica may go on after the last
-    answered_failure,  // the replica's own failure: it ran
+    broken_resumable,  // the client has whole events; another replica may resume after the last
+    answered_failure,  // an error response of the replica: it ran
     seen_before,
 };
 inline constexpr auto try_end_count = 10;
 
-// What is known of the request itself and of its earlier tries.
+// Facts about the request and its earlier tries.
 struct RetryRequest {
     bool repeatable = false;
-    bool may_have_run = false;  // an earlier try has run or may have
-    bool output_begun = false;  // the client has a part of an answer
-    bool failure_held = false;  // a replica's own failure can be passed on
+    bool may_have_run = false;  // an earlier try ran or may have run
+    bool output_begun = false;  // the client has a part of a response
+    bool failure_held = false;  // an error response of a replica can be passed on
 };
 
 struct RetryLimits {
@@ -68,13 +68,13 @@
 };
 
 enum class RetryDecision : int {
-    finished,      // answered whole, or nobody waits any more
+    finished,      // answered in full, or the client is gone
     send_again,    // to another replica
-    refused,       // not run, and never will be: the client may come again
-    unknown,       // may have run: nothing is promised
-    pass_failure,  // the replica's own failure goes to the client
-    cut,           // the answer under way ends visibly incomplete
-    seen,          // another request of this identity was taken
+    refused,       // has not run and never will: the client may send it again
+    unknown,       // may have run
+    pass_failure,  // the replica's error response goes to the client
+    cut,           // the response under way is ended so that the client sees it is incomplete
+    seen,          // duplicate: another request of this identity was accepted
 };
 
 namespace retry {
@@ -93,7 +93,7 @@
         default: break;
     }
     if (facts.written == BytesWritten::not_connected) return TryEnd::not_sent;
-    // A replica runs nothing whose head it does not have whole.
+    // A replica does not run a request before it has the whole head.
     if (facts.written < BytesWritten::head) return TryEnd::not_written;
     return TryEnd::unknown_before;
 }
@@ -103,8 +103,7 @@
         end == TryEnd::answered_failure || end == TryEnd::answered || end == TryEnd::caller_gone;
 }
 
-// Another try only where this one is known not to have run, or where the
-// request may run more than once.
+// Another try is allowed only if the request is known not to have run, or may run more than once.
 constexpr auto may_follow(TryEnd end, RetryRequest const& request) -> bool {
     switch (end) {
         case TryEnd::did_not_run:
@@ -117,7 +116,7 @@
     }
 }
 
-// What the client is told where no further try is made.
+// What the client is told if no further try is made.
 constexpr auto without_another_try(RetryRequest const& request) -> RetryDecision {
     if (request.output_begun) return RetryDecision::cut;
     if (request.failure_held) return RetryDecision::pass_failure;
@@ -136,14 +135,14 @@
     return without_another_try(request);
 }
 
-// Whether the end tells how well the replica works: it answered, failed, or broke off.
+// Whether the end counts for the replica's health: it answered, failed, or broke off.
 constexpr auto outcome_of_replica(TryEnd end) -> bool {
     return end == TryEnd::answered || end == TryEnd::answered_failure || end == TryEnd::unknown_before ||
         end == TryEnd::broken_after || end == TryEnd::broken_resumable;
 }
 
-// Statuses by which a client is told that its request has not run. A replica's
-// own may be passed on only with the replica's word for it.
+// Statuses that tell a client that its request has not run. A replica's response with one of them is passed on
+// only if the replica also states that it did not run the request.
 constexpr auto promises_not_run(int status) -> bool {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/source/ticket/ticket.hpp
+++ b/source/ticket/ticket.hpp
@@ -1,31 +1,33 @@
 #pragma once
-// A ticket is one request of a caller. docs/design.md section 9.
+// An inference request as the nodes queue, place and retry it. docs/design.md section 9.
 #include "base/json_structs.hpp"
 
 namespace dockrock {
 
+// One named part of a prompt's prefix, and its length in tokens.
 struct PrefixPart {
     std::string name;
     std::int64_t tokens = 0;
 };
 
-// What a caller sends to a models mapping.
+// The JSON body that a client posts to a path mapped to models.
 struct TicketBody {
     std::string model;
     std::string kind;
     std::string prompt;
-    std::string tenant;    // needed where a key serves several
-    std::string weights;   // optional: only these weights will do
-    std::string identity;  // optional: the caller's name for this ticket
+    std::string tenant;    // required if the API key belongs to several tenants
+    std::string weights;   // optional: place it only on replicas with these weights
+    std::string identity;  // optional: the client's idempotency key
     std::vector<PrefixPart> prefix;
     std::int64_t max_tokens = 0;
-    std::int64_t slots = 1;                  // how much capacity it takes
-    std::int64_t deadline_milliseconds = 0;  // optional: shorter than the kind's
+    std::int64_t slots = 1;                  // capacity slots that it occupies on a replica
+    std::int64_t deadline_milliseconds = 0;  // optional: used if shorter than the kind's
     bool run_once = true;
 };
 
 inline constexpr auto unlimited_tries = std::int64_t{1} << 30;
 
+// A request with what its key, its tenant and the configuration add to its body.
 struct Ticket {
     std::uint64_t number = 0;
     TicketBody body;
@@ -38,11 +40,12 @@
     Microseconds deadline = 0;  // absolute
     std::int64_t prompt_tokens = 0;
     std::int64_t prefix_tokens = 0;
-    std::int64_t tries = unlimited_tries;  // replicas that it may be sent to
-    bool counted = false;                  // entered before: earns no second share of extra tries
-    std::vector<std::uint64_t> chain;      // hash of each leading run of prefix parts, wall and model included
-    bool parts_alone = false;              // the hashes are of single parts: kept is a leading run of them
-    std::uint64_t affinity = 0;            // tickets that share a prefix have the same; 0: none
+    std::int64_t tries = unlimited_tries;  // maximum number of replicas that it is sent to
+    bool counted = false;                  // queued before: adds nothing more to the retry budget
+    std::vector<std::uint64_t> chain;      // hash of each prefix of the parts, with isolation and model mixed in
+    bool parts_alone = false;              // `chain` has one hash for each single part instead
+    std::uint64_t affinity = 0;            // equal for requests that share a prefix; 0: no prefix
+    // Tokens of memory that it needs at most: prompt, prefix and output.
     auto declared() const -> std::int64_t { return prompt_tokens + prefix_tokens + body.max_tokens; }
 };
 
