--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -127,7 +127,7 @@
     }
 };
 
-// The domains that a place in the tree lies in, whether or not they have a wall.
+// The domains of all branches above a path of the tree, whether or not they are isolated.
 auto domains_around(std::string const& path) -> std::vector<std::string> {
     auto domains = std::vector<std::string>(1, std::string(whole_fleet));
     for (auto end = path.find('/', 1); end != std::string::npos; end = path.find('/', end + 1))
@@ -136,7 +136,7 @@
 }
 
 auto set_scopes(std::vector<Tenant>& tenants) -> void {
-    std::map<std::string, std::set<std::string>> walled_off;  // by domain that tenants share in
+    std::map<std::string, std::set<std::string>> walled_off;  // sharing domain -> domains within it that are isolated
     for (auto const& tenant : tenants) walled_off[tenant.wall_domain];
     for (auto const& tenant : tenants)
         for (auto const& domain : domains_around(tenant.path))
--- a/source/sequence/configuration.hpp
+++ b/source/sequence/configuration.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The operator's tree: groups and tenants that inherit walls, rank, share and
-// keys. Checked whole. docs/design.md section 7.
+// The operator's configuration: a tree of groups and tenants that inherit isolation, rank, share, keys and models.
+// It is always validated as a whole. docs/design.md section 7.
 #include "base/json_structs.hpp"
 
 namespace dockrock {
@@ -9,7 +9,7 @@
     std::string identity;
     std::string sha256;
 };
-// Every setting may be left out; it is then taken from the branch above.
+// Every setting is optional and is otherwise inherited from the parent branch.
 struct TenantBranch {
     std::string name;
     std::optional<std::string> wall;
@@ -30,7 +30,7 @@
 };
 struct ModelEntry {
     std::string name;
-    std::string weights;  // the first weights; later ones are named through the service's part
+    std::string weights;  // the initial weights; later ones are set through the service's partition
 };
 struct KindEntry {
     std::string name;
@@ -54,15 +54,16 @@
     GroupBranch root;
 };
 
+// Within what a tenant's prefix cache is shared: its surroundings, its group, or nothing.
 enum class Wall : int { shared, group, isolated };
 
-// A tenant with all it inherits.
+// A tenant with its inherited settings.
 struct Tenant {
     std::string path;
     std::string name;
     Wall wall = Wall::shared;
-    std::string wall_domain;    // prefix memory is shared only within one domain
-    std::string sharing_scope;  // the domain, and who is walled off from it (sequence/sharing_scope.hpp)
+    std::string wall_domain;    // the prefix cache is shared only within one domain
+    std::string sharing_scope;  // the domain, and the domains isolated from it (sequence/sharing_scope.hpp)
     int rank = 0;
     int share = 1;
     std::vector<Key> keys;
@@ -78,8 +79,9 @@
 
 inline constexpr auto configuration_limit = std::size_t{1} << 20U;
 
+// Parses and validates a configuration; `problems` lists every error with its path.
 auto check_configuration(std::string_view text) -> CheckedConfiguration;
-auto sha256_of(std::string_view text) -> std::string;
+auto sha256_of(std::string_view text) -> std::string;  // lower-case hexadecimal
 auto equal_in_constant_time(std::string_view left, std::string_view right) -> bool;
 
 }  // namespace dockrock
--- a/source/sequence/patch.cpp
+++ b/source/sequence/patch.cpp
@@ -14,15 +14,15 @@
     return {status, {"/" + std::to_string(place), std::move(what)}, ""};
 }
 
-// What a copy adds, so that copies of copies end at the limit and not before
-// the memory does.
+// Bytes that a "copy" operation adds. Counted so that repeated copies of copies are refused at the size limit
+// before they exhaust the memory.
 auto copied_size(Tree const& tree, Tree const& operation) -> std::size_t {
     if (operation.value("op", "") != "copy" || !operation.contains("from")) return 0;
     auto const from = Tree::json_pointer(operation.at("from").get<std::string>());
     return tree.contains(from) ? tree.at(from).dump().size() : 0;
 }
 
-// The library throws; its words become values here and nowhere else.
+// The library reports errors as exceptions; they are turned into results here and nowhere else.
 auto apply_one(Tree& tree, Tree const& operation, std::size_t place, std::size_t& size) -> Patched {
     constexpr auto test_failed = 501;
     try {
--- a/source/sequence/plan.cpp
+++ b/source/sequence/plan.cpp
@@ -14,9 +14,9 @@
 inline constexpr auto subjects =
     std::to_array<char const*>({"models", "kinds", "mappings", "limits", "tenants", "keys", "walls", "partitions"});
 
-using Facts = std::map<std::string, json::object>;  // name -> what is known of it
+using Facts = std::map<std::string, json::object>;  // name -> its properties
 
-// Everything that differs, by name: added, removed, or changed from and to.
+// Lists the differences by name: added, removed, or changed with the old and new values.
 auto compare(Facts const& before, Facts const& after) -> json::array {
     json::array moves;
     for (auto const& [name, facts] : before) {
@@ -104,8 +104,7 @@
     return facts;
 }
 
-// Services live in the partition of their name's hash; a new one joins a partition, and
-// the pair that holds it.
+// A service is stored in the partition that its name hashes to, and so on that partition's leader and followers.
 auto part_facts(CheckedConfiguration const& checked, std::vector<PlanPartition> const& partitions) -> Facts {
     Facts facts;
     for (auto const& model : checked.configuration.models) {
--- a/source/sequence/rules.hpp
+++ b/source/sequence/rules.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Rules compiled from one sequence of the configuration, and the snapshot that
-// tickets are read against. docs/design.md section 9.1.
+// Rules compiled from one version (sequence) of the configuration: the snapshot that requests are checked against.
+// docs/design.md section 9.1.
 #include <array>
 #include <memory>
 #include <set>
@@ -27,6 +27,7 @@
     {"method", "body-limit", "read-ticket", "check-key", "match-tenant", "check-kind", "check-model", "check-sizes",
      "enter-buffer", "forward-application"});
 
+// One step of processing a request, with its argument.
 struct Rule {
     Operation operation;
     std::string text;
@@ -37,15 +38,15 @@
     std::vector<Rule> rules;
 };
 
-// Immutable; swapped whole when news comes.
+// Immutable; replaced as a whole when a newer configuration arrives.
 struct Rules {
     Sequence sequence;
     CheckedConfiguration checked;
     std::vector<Mapping> mappings;                                   // longest path first
-    std::map<std::string, std::vector<std::size_t>> tenants_by_key;  // sha256 -> places in checked.tenants
+    std::map<std::string, std::vector<std::size_t>> tenants_by_key;  // SHA-256 -> indexes in checked.tenants
     std::map<std::string, std::int64_t> deadlines;                   // by kind, microseconds
     std::set<std::string> models;
-    std::shared_ptr<ServiceRules const> services;  // where requests are relayed
+    std::shared_ptr<ServiceRules const> services;  // set if this fleet relays requests
     auto empty() const -> bool { return mappings.empty() && !services; }
 };
 
--- a/source/sequence/sharing_scope.cpp
+++ b/source/sequence/sharing_scope.cpp
@@ -14,7 +14,8 @@
     auto scope = std::string(domain);
     if (walled_off.empty()) return scope;
     auto listed = std::string();
-    for (auto const& name : walled_off) listed += std::to_string(name.size()) + ":" + name;  // no two lists are alike
+    for (auto const& name : walled_off)
+        listed += std::to_string(name.size()) + ":" + name;  // lengths make it unambiguous
     return scope + "~" + sha256_of(listed).substr(0, mark_digits);
 }
 
--- a/source/version/changes.cpp
+++ b/source/version/changes.cpp
@@ -17,7 +17,7 @@
         ""};
 }
 
-// A version as the operator gives it: digits, in quotes where it is an entity tag.
+// Parses a version given by the operator: digits, quoted if it is an entity tag.
 auto version_of(std::string_view text) -> std::optional<std::int64_t> {
     if (text.size() >= 2 && text.starts_with('"') && text.ends_with('"')) text = text.substr(1, text.size() - 2);
     if (text.empty() || text.front() == '-') return std::nullopt;
@@ -43,7 +43,7 @@
 
 auto apply_versioned(DocumentForm const& form, Copy const& current, Call const& call) -> ChangeResult {
     Problems problems;
-    // Before all else: nothing larger than a document can be is read.
+    // First of all: a body larger than a document may be is not parsed.
     if (is_too_large(call.body, problems)) return refused(413, problems);
     auto const patch = call.operation == "patch";
     if (!patch && call.operation != "put") return refused(400, {{"", "no such operation"}});
@@ -52,7 +52,7 @@
     else text = call.body;
     if (!text) return refused(400, problems);
     auto wanted = form.read_document(*text, problems);
-    // What a patch makes can be judged only on the document that it is meant for.
+    // The result of a patch can be judged only once its base version is known to be the current one.
     if (!wanted && !patch) return refused(400, problems);
     auto const base = version_of(call.base);
     if (!base) return refused(400, {{"", "a change names the version that it builds on, 0 for the first"}});
--- a/source/version/services.cpp
+++ b/source/version/services.cpp
@@ -21,7 +21,7 @@
     return lower;
 }
 
-// A host without its port; an IPv6 address keeps its brackets.
+// The host without its port; an IPv6 address keeps its brackets.
 auto without_port(std::string_view host) -> std::string_view {
     auto const from = host.starts_with('[') ? host.find(']') : std::size_t{0};
     return from == std::string_view::npos ? host : host.substr(0, host.find(':', from));
@@ -97,7 +97,7 @@
         }
     }
 
-    // The keys themselves are never told.
+    // Problems never contain the keys themselves.
     auto keys() -> void {
         std::map<std::string_view, std::size_t> holders;
         for (auto index = std::size_t{0}; index < document.tenants.size(); ++index) {
--- a/source/version/services.hpp
+++ b/source/version/services.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The operator's document of services: routes by host and prefix, services,
-// tenants and limits, under the operator's own version. docs/platform.md.
+// The operator's service document: routes by host and path prefix, services, tenants and limits, with a version
+// that the operator sets. docs/platform.md.
 #include <functional>
 #include <map>
 #include <memory>
@@ -21,27 +21,27 @@
     std::string host;
     std::string prefix;  // begins and ends with a slash
     bool stream = false;
-    bool repeatable = false;  // may run more than once (resumable streams are)
-    bool resumable = false;   // a stream that goes on elsewhere after a last event
-    bool open = false;        // needs no key
-    std::int64_t tries = 1;   // replicas that one request may be sent to
+    bool repeatable = false;  // a request may run more than once (resumable streams are repeatable)
+    bool resumable = false;   // another replica can resume the stream after its last event
+    bool open = false;        // no API key required
+    std::int64_t tries = 1;   // maximum number of replicas that one request is sent to
     std::int64_t rank = 0;    // 0 is the highest
     Microseconds timeout = 0;
     Microseconds target = 0;
-    Microseconds pause_limit = 0;  // between events, 0: none
+    Microseconds pause_limit = 0;  // longest pause between events; 0: no limit
     std::vector<SplitEntry> split;
 };
 struct Service {
     std::string name;
     std::string health_path;
-    std::int64_t connections = 100;  // that a replica takes from all nodes together
-    std::int64_t capacity = 1;       // requests at once
-    std::int64_t memory = 0;         // tokens of kept and running prompts
+    std::int64_t connections = 100;  // that a replica accepts from all nodes together
+    std::int64_t capacity = 1;       // concurrent requests of a replica
+    std::int64_t memory = 0;         // tokens of cached and running prompts
     std::int64_t token_bytes = 0;
     double link_megabits = 0.0;
-    std::int64_t event_calls = 1;  // held at once by a replica
+    std::int64_t event_calls = 1;  // concurrent event calls that a replica holds open
     std::vector<std::string> models;
-    std::string store_address;  // a store of kept prompts, where not empty
+    std::string store_address;  // store of cached prompts; empty: none
     std::string zone;           // of the store
 };
 struct RequestLimits {
@@ -53,9 +53,9 @@
 struct ServiceTenant {
     std::string name;
     std::vector<std::string> keys;
-    std::int64_t rank = 0;  // goes before the route's
-    bool ranked = true;     // else the route's rank counts
-    bool isolated = false;  // shares no kept prompt with others
+    std::int64_t rank = 0;  // takes precedence over the route's rank
+    bool ranked = true;     // false: only the route's rank counts
+    bool isolated = false;  // shares no cached prompt with other tenants
 };
 struct ServiceDocument {
     std::int64_t version = 0;
@@ -63,42 +63,42 @@
     std::vector<Service> services;
     RequestLimits limits;
     std::vector<ServiceTenant> tenants;
-    bool keyed = false;  // the document names tenants: requests carry keys
+    bool keyed = false;  // the document lists tenants: requests need API keys
 };
 
-// The two functions of a fleet's form (process/form.hpp) that know documents.
+// The functions of the wire protocol (process/wire_protocol.hpp) that read and change service documents.
 struct DocumentForm {
-    // Into the product's own structure; empty: it can't be read.
+    // Parses a document of the fleet's own format; nullopt if it can't be read.
     std::function<std::optional<ServiceDocument>(std::string_view text, Problems& problems)> read_document;
-    // The whole document that a change of named items results in.
+    // The whole document after a change of single items.
     std::function<std::optional<std::string>(std::string_view current, std::string_view change, Problems& problems)>
         merge_document;
 };
 
-// Every reason why it can't be in force, with its path (as the product names things).
+// Every reason why the document is invalid, with its path in the field names used here.
 auto check_document(ServiceDocument const& document) -> Problems;
 
-// Compiled for one version: immutable.
+// A document compiled for lookups. Immutable; one for each version.
 struct ServiceRules {
     ServiceDocument document;
     std::unordered_map<std::string, std::vector<std::size_t>> routes_by_host;  // longest prefix first
-    std::unordered_map<std::string, std::size_t> tenants_by_key;               // SHA-256 -> place in tenants
+    std::unordered_map<std::string, std::size_t> tenants_by_key;               // SHA-256 of the key -> index in tenants
     std::unordered_map<std::string, std::size_t> services_by_name;
-    std::string shared_scope;  // of all requests but those of isolated tenants
+    std::string shared_scope;  // cache sharing scope of all requests but those of isolated tenants
 
     auto route_of(std::string_view host, std::string_view path) const -> Route const*;
     auto tenant_of(std::string_view key) const -> ServiceTenant const*;  // nullptr: unknown key
     auto service(std::string_view name) const -> Service const*;
-    // Within which scope a tenant's prompts are shared; nullptr: a request without a tenant.
+    // The scope within which cached prompts of a tenant are shared; nullptr: a request without a tenant.
     auto scope_of(ServiceTenant const* tenant) const -> std::string;
 };
 auto compile_services(ServiceDocument document) -> std::shared_ptr<ServiceRules const>;
 
-// The rank under which a tenant's request on a route waits; without a tenant the route's.
+// The rank of a tenant's request on a route: the tenant's if it has one, else the route's.
 auto rank_of(Route const& route, ServiceTenant const* tenant) -> std::int64_t;
 
-// Which service of a split takes a request: by weight, from a number that
-// stays the same for one request.
+// Chooses a service of the route's split by weight. `number` is a hash that stays the same for one request, so
+// that its choice does too.
 auto choose_service(Route const& route, std::uint64_t number) -> std::string const&;
 
 }  // namespace dockrock
