--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -116,7 +116,7 @@
     };
     auto const* home = *std::min_element(found.begin(), found.end(), by_hash);
     auto const rates =
-        PlacementRates{reading_rate(ticket.body.model) / options.fetch_tokens_each_second, options.copy_cost};
+        PlacementRates{prefill_rate(ticket.body.model) / options.fetch_tokens_each_second, options.copy_cost};
     std::vector<KeptRuns> known;
     auto const runs_for = [&](std::uint64_t mark) -> KeptRuns const& {
         for (auto const& runs : known)
@@ -145,9 +145,9 @@
 }
 
 // Prefill rate in tokens a second: the service's estimate if there is one, else the default.
-auto Granting::reading_rate(std::string const& model) const -> double {
-    auto const found = options.observe_rates ? reading_rates.find(model) : reading_rates.end();
-    auto const observed = found == reading_rates.end() ? std::nullopt : found->second.observed();
+auto Granting::prefill_rate(std::string const& model) const -> double {
+    auto const found = options.observe_rates ? prefill_rates.find(model) : prefill_rates.end();
+    auto const observed = found == prefill_rates.end() ? std::nullopt : found->second.observed();
     return observed.value_or(options.recompute_tokens_each_second);
 }
 
@@ -155,7 +155,7 @@
     burden.first_output(placement.replica, ticket.number);
     // A request that waited behind other prompts is no sample of the prefill rate.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
-        reading_rates[ticket.body.model].add(placement.tokens_to_read, took);
+        prefill_rates[ticket.body.model].add(placement.tokens_to_read, took);
 }
 
 }  // namespace dockrock
--- a/source/scheduling/reading_rate.hpp
+++ b/source/scheduling/prefill_rate.hpp
@@ -8,12 +8,12 @@
 
 namespace dockrock {
 
-struct ReadingRate {
-    static constexpr double forgetting = 0.98;  // decay of the weights with each sample: about 50 samples count
-    static constexpr double least_samples = 12.0;
-    static constexpr double least_rate = 1e3;  // tokens a second; a slope outside of these is not used
-    static constexpr double most_rate = 1e7;
-    static constexpr double least_spread = 500.0;  // standard deviation, tokens: similar prompts give no reliable slope
+struct PrefillRate {
+    static constexpr double decay = 0.98;  // decay of the weights with each sample: about 50 samples count
+    static constexpr double min_samples = 12.0;
+    static constexpr double min_rate = 1e3;  // tokens a second; a slope outside of these is not used
+    static constexpr double max_rate = 1e7;
+    static constexpr double min_spread = 500.0;  // standard deviation, tokens: similar prompts give no reliable slope
 
     // Adds a sample: `tokens` were prefilled and the first token came `took` after the request was sent.
     auto add(std::int64_t tokens, Microseconds took) -> void;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -5,7 +5,7 @@
 #include <array>
 #include <unordered_set>
 
-#include "scheduling/reading_rate.hpp"
+#include "scheduling/prefill_rate.hpp"
 #include "ticket/burden.hpp"
 
 namespace dockrock {
@@ -118,7 +118,7 @@
         int share = 1;
     };
     std::map<std::string, Usage> usage;                // by tenant path, decayed
-    std::map<std::string, ReadingRate> reading_rates;  // by model
+    std::map<std::string, PrefillRate> prefill_rates;  // by model
     std::array<std::uint64_t, filter_names.size()> filtered{};
     std::array<std::uint64_t, shed_names.size()> shed_counts{};
     std::uint64_t placed_count = 0;
@@ -139,7 +139,7 @@
         -> void;
     // The first output came `took` after the request was sent: its prefill is over.
     auto first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void;
-    auto reading_rate(std::string const& model) const -> double;
+    auto prefill_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
     // Queued requests are placed in falling order of this.
     auto score(Waiting const& waiting, Microseconds now) const -> double;
