--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -32,9 +32,9 @@
     return sum;
 }
 
-auto BurdenTable::judge_health(Microseconds now) -> void {
+auto BurdenTable::update_health(Microseconds now) -> void {
     if (!options.eject_failing) return;
-    for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
+    for (auto& [name, state] : replicas) state.health.update(outcomes(state, now), now);
 }
 
 auto BurdenTable::check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter {
--- a/source/scheduling/replica_health.hpp
+++ b/source/scheduling/replica_health.hpp
@@ -17,24 +17,24 @@
 inline constexpr Microseconds outcome_window = 3 * one_second;
 
 struct ReplicaHealth {
-    static constexpr std::int64_t least_failed = 3;
+    static constexpr std::int64_t min_failed = 3;
     static constexpr std::int64_t failed_share = 4;  // failing: at least one in so many tries
     // The first pause is longer than the window, so that outcomes from before it don't count after it.
     static constexpr Microseconds first_pause = 4 * one_second;
     static constexpr Microseconds longest_pause = 32 * one_second;
 
-    Microseconds left_out_until = 0;
+    Microseconds ejected_until = 0;
     Microseconds pause = 0;
 
-    auto usable(Microseconds now) const -> bool { return now >= left_out_until; }
+    auto usable(Microseconds now) const -> bool { return now >= ejected_until; }
     // Updates the state from the recent outcomes. Returns whether the replica is ejected from now on.
-    auto judge(Outcomes const& seen, Microseconds now) -> bool {
+    auto update(Outcomes const& seen, Microseconds now) -> bool {
         if (!usable(now)) return false;
-        auto const failing = seen.failed >= least_failed && seen.failed * failed_share >= seen.ended;
+        auto const failing = seen.failed >= min_failed && seen.failed * failed_share >= seen.ended;
         if (failing) {
             pause = pause == 0 ? first_pause : std::min(2 * pause, longest_pause);
-            left_out_until = now + pause;
-        } else if (seen.failed == 0 && seen.ended >= least_failed) {
+            ejected_until = now + pause;
+        } else if (seen.failed == 0 && seen.ended >= min_failed) {
             pause = 0;
         }
         return failing;
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -82,7 +82,7 @@
     digest.number = number;
     take_told(node, digest, std::move(told), now);
     forget_lost(now);
-    judge_health(now);
+    update_health(now);
 }
 
 // This node's own load on each replica, as reported to other nodes.
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -216,7 +216,7 @@
 
    private:
     auto tell_of(std::string const& name, ReplicaState& state) const -> void;
-    auto judge_health(Microseconds now) -> void;
+    auto update_health(Microseconds now) -> void;
     auto take_told(std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at)
         -> void;
     auto forget_lost(Microseconds now) -> void;
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -50,7 +50,7 @@
         add_load(state.summed, *mine, -1);
         state.summed.aged = std::max<std::int64_t>(0, state.summed.aged - mine->recent * told.echo_age);
     }
-    judge_health(now);
+    update_health(now);
 }
 
 auto BurdenTable::summed_lost(Microseconds now) const -> bool {
--- a/tests/replica_health_test.cpp
+++ b/tests/replica_health_test.cpp
@@ -8,16 +8,16 @@
 
 TEST_CASE("a replica that fails a fourth of its tries is ejected, longer each time, until it has recovered") {
     auto health = ReplicaHealth();
-    CHECK_FALSE(health.judge({2, 2}, 0));   // too few failures
-    CHECK_FALSE(health.judge({13, 3}, 0));  // under a fourth
-    CHECK(health.judge({12, 3}, 0));
+    CHECK_FALSE(health.update({2, 2}, 0));   // too few failures
+    CHECK_FALSE(health.update({13, 3}, 0));  // under a fourth
+    CHECK(health.update({12, 3}, 0));
     CHECK_FALSE(health.usable(3 * one_second));
     CHECK(health.usable(4 * one_second));
-    CHECK(health.judge({5, 5}, 4 * one_second));
+    CHECK(health.update({5, 5}, 4 * one_second));
     CHECK_FALSE(health.usable(11 * one_second));
     CHECK(health.usable(12 * one_second));
-    health.judge({5, 0}, 12 * one_second);
-    CHECK(health.judge({5, 5}, 13 * one_second));
+    health.update({5, 0}, 12 * one_second);
+    CHECK(health.update({5, 5}, 13 * one_second));
     CHECK(health.usable(17 * one_second));
 }
 
