--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -102,7 +102,7 @@
     auto const urgency = placement.short_prompt ? most_urgent : urgency_of(judged.tenant, *judged.route);
     add(head, names.urgency, std::to_string(urgency));
     if (!placement.fetch.source.empty()) add(head, names.fetch_from, placement.fetch.source);
-    if (!placement.fetch.save_at.empty()) add(head, names.store_at, placement.fetch.save_at);
+    if (!placement.fetch.save_to.empty()) add(head, names.store_at, placement.fetch.save_to);
     if (last_event >= 0) add(head, names.last_event, std::to_string(last_event));
     if (!request.body().empty() || request.has_content_length() || request.chunked())
         add(head, "Content-Length", std::to_string(request.body().size()));
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -58,7 +58,7 @@
             if (service.store_address.empty()) continue;
             named.insert(service.name);
             auto& store = stores[service.name];
-            if (store.address != service.store_address) store = PartsStore{};
+            if (store.address != service.store_address) store = PrefixStore{};
             store.address = service.store_address;
             store.area = service.zone;
         }
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -77,9 +77,9 @@
             tokens += ticket.body.prefix[count++].tokens;
         if (options.store_reads) weigh(store.address, store.area, tokens);
         if (!options.store_writes || count == shared || !worth_saving) continue;
-        std::erase_if(store.saving, [&](auto const& item) { return now - item.second > options.saving_memory; });
-        if (store.saving.emplace(ticket.chain[shared - 1] ^ target.weights_mark, now).second)
-            best.save_at = store.address;
+        std::erase_if(store.pending_saves, [&](auto const& item) { return now - item.second > options.saving_memory; });
+        if (store.pending_saves.emplace(ticket.chain[shared - 1] ^ target.weights_mark, now).second)
+            best.save_to = store.address;
     }
     best.tokens = std::max<std::int64_t>(0, best.tokens - kept);
     return best;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -20,15 +20,15 @@
     std::string source;  // address of a peer replica or of the store; empty: recompute
     std::int64_t tokens = 0;
     Microseconds limit = 0;
-    std::string save_at;  // store to which the replica writes the prefilled parts; empty: none
+    std::string save_to;  // store to which the replica writes the prefilled parts; empty: none
 };
 // What is known of a store of cached prefix parts, from its events.
-struct PartsStore {
+struct PrefixStore {
     std::string address;
     std::string area;
     bool up = false;
-    std::unordered_set<std::uint64_t> parts;       // part ^ weights hash
-    std::map<std::uint64_t, Microseconds> saving;  // recently sent there, no event for it yet
+    std::unordered_set<std::uint64_t> parts;              // part ^ weights hash
+    std::map<std::uint64_t, Microseconds> pending_saves;  // recently sent there, no event for it yet
 };
 // The decision to run a request on a replica.
 struct Placement {
@@ -106,7 +106,7 @@
     Microseconds proof_limit = dockrock::proof_limit;            // older: nothing is placed
     Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: all queued requests are shed
     std::string store_address;
-    std::map<std::string, PartsStore> stores;  // by the service's name
+    std::map<std::string, PrefixStore> stores;  // by the service's name
     struct LinkSpeed {
         double rate = 0.0;  // tokens a second; a fetch without result halves it
         Microseconds at = 0;
