--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -20,7 +20,7 @@
     auto line = fields(
         "route", route.name, "service", ticket.body.model, "target_microseconds", route.target,
         "pause_limit_microseconds", route.pause_limit, "prompt_tokens", ticket.prompt_tokens + ticket.prefix_tokens,
-        "shared_tokens", shared_run(ticket), "output_tokens", ticket.body.max_tokens);
+        "shared_tokens", shared_prefix_tokens(ticket), "output_tokens", ticket.body.max_tokens);
     line["waited_microseconds"] = trace.waited;
     line["sent_microseconds"] = since_arrival(trace.sent_at);
     line["first_output_microseconds"] = since_arrival(trace.first_at);
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -89,7 +89,7 @@
     auto tokens = arrival.tokens;
     auto const prompt = number_of(take_until(tokens, ','), 0);
     ticket.body.max_tokens = std::clamp<std::int64_t>(number_of(tokens, 1), 1, most_tokens);
-    ticket.parts_alone = true;
+    ticket.independent_parts = true;
     read_prefix(arrival.prefix, ticket);
     ticket.prompt_tokens = std::max<std::int64_t>(0, std::min(prompt, most_tokens) - ticket.prefix_tokens);
 }
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -10,7 +10,8 @@
 
 // Seed of the hash order of replicas: the same for requests that share a prefix, different for those without one.
 auto spreading_seed(Ticket const& ticket, std::string const& node) -> std::uint64_t {
-    if (!ticket.chain.empty() || !ticket.parts_alone) return ticket.affinity != 0 ? ticket.affinity : ticket.number;
+    if (!ticket.chain.empty() || !ticket.independent_parts)
+        return ticket.affinity != 0 ? ticket.affinity : ticket.number;
     return hash_text(node, ticket.number);
 }
 
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-auto shared_run(Ticket const& ticket) -> std::int64_t {
+auto shared_prefix_tokens(Ticket const& ticket) -> std::int64_t {
     auto tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index + 1 < ticket.body.prefix.size(); ++index)
         tokens += ticket.body.prefix[index].tokens;
@@ -125,7 +126,7 @@
     };
     auto view = PlacementView();
     view.prompt = ticket.prompt_tokens + ticket.prefix_tokens;
-    view.shared = shared_run(ticket);
+    view.shared = shared_prefix_tokens(ticket);
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -158,7 +158,7 @@
 }
 
 auto BurdenTable::kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t {
-    if (ticket.parts_alone) {
+    if (ticket.independent_parts) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
             if (!state.parts.contains(ticket.chain[index] ^ state.weights_mark)) break;
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -26,7 +26,7 @@
     -> FetchPlan {
     FetchPlan best;
     auto best_gain = 0.0;  // seconds saved over recomputing
-    auto const weigh = [&](std::string const& source, std::int64_t tokens) {
+    auto const consider = [&](std::string const& source, std::int64_t tokens) {
         if (tokens <= 0) return;
         auto const recompute = static_cast<double>(tokens) / options.recompute_tokens_each_second;
         auto const gain = recompute - static_cast<double>(tokens) / link_rate(source, target.entry.name, now);
@@ -38,9 +38,9 @@
         auto const& state = *peer;
         if (peer == &target || state.unreachable || !state.report) continue;
         if (state.report->weights != target.report->weights) continue;
-        weigh(state.entry.address, burden.kept_tokens(state, ticket) - kept);
+        consider(state.entry.address, burden.kept_tokens(state, ticket) - kept);
     }
-    if (best.source.empty() && !store_address.empty()) weigh(store_address, ticket.prefix_tokens - kept);
+    if (best.source.empty() && !store_address.empty()) consider(store_address, ticket.prefix_tokens - kept);
     return best;
 }
 
@@ -49,19 +49,19 @@
 auto Granting::plan_parts(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now)
     -> FetchPlan {
     FetchPlan best;
-    auto best_near = false;
-    auto const weigh = [&](std::string const& source, std::string const& area, std::int64_t tokens) {
+    auto best_in_area = false;
+    auto const consider = [&](std::string const& source, std::string const& area, std::int64_t tokens) {
         auto const near = area == target.entry.area;
-        if (tokens <= kept || tokens < best.tokens || (tokens == best.tokens && (best_near || !near))) return;
+        if (tokens <= kept || tokens < best.tokens || (tokens == best.tokens && (best_in_area || !near))) return;
         best.source = source;
         best.tokens = tokens;
-        best_near = near;
+        best_in_area = near;
     };
     for (auto const* peer : burden.pool(ticket.body.model)) {
         auto const& state = *peer;
         if (!options.peer_moves || peer == &target || state.unreachable) continue;
         if (state.weights_mark != target.weights_mark || !state.report || state.report->changing) continue;
-        weigh(state.entry.address, state.entry.area, burden.kept_tokens(state, ticket));
+        consider(state.entry.address, state.entry.area, burden.kept_tokens(state, ticket));
     }
     auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last one isn't shared
     auto shared_tokens = std::int64_t{0};
@@ -75,7 +75,7 @@
         auto count = std::size_t{0};
         while (count < shared && store.parts.contains(ticket.chain[count] ^ target.weights_mark))
             tokens += ticket.body.prefix[count++].tokens;
-        if (options.store_reads) weigh(store.address, store.area, tokens);
+        if (options.store_reads) consider(store.address, store.area, tokens);
         if (!options.store_writes || count == shared || !worth_saving) continue;
         std::erase_if(store.pending_saves, [&](auto const& item) { return now - item.second > options.saving_memory; });
         if (store.pending_saves.emplace(ticket.chain[shared - 1] ^ target.weights_mark, now).second)
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -108,8 +108,8 @@
     auto placement = Placement{
         ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
     placement.kept_tokens = burden.kept_tokens(state, ticket);
-    placement.fetch = ticket.parts_alone ? plan_parts(state, ticket, placement.kept_tokens, now)
-                                         : plan_fetch(state, ticket, placement.kept_tokens, now);
+    placement.fetch = ticket.independent_parts ? plan_parts(state, ticket, placement.kept_tokens, now)
+                                               : plan_fetch(state, ticket, placement.kept_tokens, now);
     placement.tokens_to_read = std::max<std::int64_t>(
         0, ticket.prompt_tokens + ticket.prefix_tokens - placement.kept_tokens - placement.fetch.tokens);
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -54,7 +54,7 @@
     std::int64_t stores = 0;
 };
 // Tokens of the prefix that other requests may share: all parts but the last.
-auto shared_run(Ticket const& ticket) -> std::int64_t;
+auto shared_prefix_tokens(Ticket const& ticket) -> std::int64_t;
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
--- a/source/ticket/ticket.hpp
+++ b/source/ticket/ticket.hpp
@@ -43,7 +43,7 @@
     std::int64_t tries = unlimited_tries;  // maximum number of replicas that it is sent to
     bool counted = false;                  // queued before: adds nothing more to the retry budget
     std::vector<std::uint64_t> chain;      // hash of each prefix of the parts, with isolation and model mixed in
-    bool parts_alone = false;              // `chain` has one hash for each single part instead
+    bool independent_parts = false;        // `chain` has one hash for each single part instead
     std::uint64_t affinity = 0;            // equal for requests that share a prefix; 0: no prefix
     // Tokens of memory that it needs at most: prompt, prefix and output.
     auto declared() const -> std::int64_t { return prompt_tokens + prefix_tokens + body.max_tokens; }
--- a/tests/hollow/load.cpp
+++ b/tests/hollow/load.cpp
@@ -67,7 +67,7 @@
     request.tenant_path = "tenant-" + std::to_string(random.below(84));
     request.deadline = 3'600 * one_second;
     request.prompt_tokens = 3'700;
-    request.parts_alone = true;
+    request.independent_parts = true;
     for (auto part = 0; part < 3; ++part) {
         request.chain.push_back(random.next());
         request.body.prefix.push_back({"part", 4'000});
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -24,7 +24,7 @@
 // A request whose prompt has one shared part and one of its own.
 auto long_prompt(std::uint64_t number, std::uint64_t shared_part, std::int64_t shared, std::int64_t own) -> Ticket {
     auto ticket = make_ticket(number, 10);
-    ticket.parts_alone = true;
+    ticket.independent_parts = true;
     ticket.chain = {shared_part, 1'000'000 + number};
     ticket.body.prefix = {{"shared", shared}, {"own", own}};
     ticket.prefix_tokens = shared + own;
@@ -133,7 +133,7 @@
     std::set<std::string> used;
     for (auto number = std::uint64_t{1}; number <= 3; ++number) {
         auto ticket = make_ticket(number, 1);
-        ticket.parts_alone = true;
+        ticket.independent_parts = true;
         ticket.affinity = 1;
         used.insert(placed_at(granting, ticket, 10));
     }
