--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -24,7 +24,7 @@
     auto const& bounds = settings.bounds;
     auto& granting = table.granting;
     granting.budget.each_ticket = bounds.retry_ratio;
-    granting.budget.stored = granting.budget.most = most_extra_tries(bounds);
+    granting.budget.available = granting.budget.capacity = most_extra_tries(bounds);
     if (form != nullptr) {  // the product's own interface keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
         granting.proof_limit = control.times.proof_limit = limits.entry;
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -136,14 +136,14 @@
     else if (buffer.empty_pool_since == 0) buffer.empty_pool_since = now;
     std::vector<std::pair<double, std::size_t>> order;
     for (auto index = std::size_t{0}; index < buffer.waiting.size(); ++index)
-        if (buffer.waiting[index].owes_since == 0 || budget.any())
+        if (buffer.waiting[index].awaiting_budget_since == 0 || budget.any())
             order.emplace_back(-score(buffer.waiting[index], now), index);
     auto const depth = std::min(options.depth, order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(depth), order.end());
     std::set<std::uint64_t> gone;
     for (auto position = std::size_t{0}; position < depth; ++position) {  // the bounded search of the paper
         auto& waiting = buffer.waiting[order[position].second];
-        auto const owes = waiting.owes_since != 0;
+        auto const owes = waiting.awaiting_budget_since != 0;
         if (owes && !budget.any()) continue;
         auto const* found = choose(waiting, now);
         if (found == nullptr) continue;
@@ -167,7 +167,8 @@
             shed(decisions, buffer, item.ticket.number, ShedReason::deadline);
             return true;
         }
-        if (item.owes_since != 0 && !budget.any() && now - item.owes_since > options.owing_limit) {
+        if (item.awaiting_budget_since != 0 && !budget.any() &&
+            now - item.awaiting_budget_since > options.owing_limit) {
             shed(decisions, buffer, item.ticket.number, ShedReason::budget);
             return true;
         }
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -72,20 +72,20 @@
 // Token bucket for retries: each request adds a fifth of a retry. A node stores at most one, so that a fleet of
 // about ten nodes has a burst of about ten retries (design 10.4).
 struct TryBudget {
-    double stored = 1.0;
-    double most = 1.0;
+    double available = 1.0;
+    double capacity = 1.0;
     double each_ticket = 0.2;
-    auto ticket_came() -> void { stored = std::min(most, stored + each_ticket); }
-    auto any() const -> bool { return stored >= 1.0; }
-    auto take() -> void { stored -= 1.0; }
+    auto ticket_came() -> void { available = std::min(capacity, available + each_ticket); }
+    auto any() const -> bool { return available >= 1.0; }
+    auto take() -> void { available -= 1.0; }
 };
 
 // A request in the queue of its model.
 struct Waiting {
     Ticket ticket;
     Microseconds since = 0;
-    std::set<std::string> avoid;  // replicas that refused it or failed
-    Microseconds owes_since = 0;  // a retry that waits for the retry budget since then; 0: none
+    std::set<std::string> avoid;             // replicas that refused it or failed
+    Microseconds awaiting_budget_since = 0;  // a retry that waits for the retry budget since then; 0: none
     std::optional<Filter> held_by;
 };
 // The queue of one model and its measured rates.
