--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -46,8 +46,8 @@
         for (auto const& member : control.membership.alive_members(false)) {
             if (member.core) continue;
             auto rate = 0.0;
-            auto const found = table.granting.burden.others.find(member.identity);
-            if (found != table.granting.burden.others.end() && now - found->second.at < 1'500 * one_millisecond)
+            auto const found = table.granting.burden.remote_digests.find(member.identity);
+            if (found != table.granting.burden.remote_digests.end() && now - found->second.at < 1'500 * one_millisecond)
                 for (auto const& [name, item] : found->second.replicas) rate += static_cast<double>(item.recent);
             rate += control.load_relay.rate_of(member.identity, now);
             edges.push_back({member.identity, member.area, rate});
--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -71,7 +71,7 @@
 
 auto BurdenTable::take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now)
     -> void {
-    auto& digest = others[node];
+    auto& digest = remote_digests[node];
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
     if (!parsed) return;
@@ -81,7 +81,7 @@
     if (!problems.empty()) return;
     digest.number = number;
     take_told(node, digest, std::move(told), now);
-    forget_lost(now);
+    drop_lost_digests(now);
     update_health(now);
 }
 
@@ -102,7 +102,7 @@
                 static_cast<std::int64_t>(state.recent.size()), state.placed_unread,
                 static_cast<std::int64_t>(state.outcomes.size()), failed});
     }
-    forget_lost(now);
+    drop_lost_digests(now);
     ++digest_number;
     return told;
 }
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -150,9 +150,9 @@
         Microseconds at = 0;
         std::map<std::string, OtherBurden> replicas;
     };
-    std::map<std::string, Digest> others;
-    std::int64_t others_active = 0;  // nodes whose digest names a replica
-    Microseconds others_oldest = 0;  // lower bound of the times of their digests
+    std::map<std::string, Digest> remote_digests;
+    std::int64_t active_digests = 0;    // nodes whose digest names a replica
+    Microseconds oldest_digest_at = 0;  // lower bound of the times of their digests
     Microseconds swept_at = 0;
     std::uint64_t active_changes = 1;  // number of changes of the set of active nodes
     std::uint64_t digest_number = 0;
@@ -219,7 +219,7 @@
     auto update_health(Microseconds now) -> void;
     auto take_told(std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at)
         -> void;
-    auto forget_lost(Microseconds now) -> void;
+    auto drop_lost_digests(Microseconds now) -> void;
     auto make_pools() -> void;
     auto own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>>;
     auto summed_lost(Microseconds now) const -> bool;
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -71,7 +71,7 @@
 // For a replica that is newly listed: other nodes may have reported load on it before.
 auto BurdenTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
     state.seed = hash_text(name);
-    for (auto const& [node, digest] : others)
+    for (auto const& [node, digest] : remote_digests)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
             tell(state, node, digest, found->second);
 }
@@ -88,22 +88,22 @@
     for (auto const& [name, item] : digest.replicas)
         if (auto const found = replicas.find(name); found != replicas.end()) tell(found->second, node, digest, item);
     auto const active = !digest.replicas.empty();
-    if (active) others_oldest = others_active == 0 ? at : std::min(others_oldest, at);
+    if (active) oldest_digest_at = active_digests == 0 ? at : std::min(oldest_digest_at, at);
     if (active == was_active) return;
-    others_active += active ? 1 : -1;
+    active_digests += active ? 1 : -1;
     ++active_changes;
 }
 
 // Drops the loads of nodes whose digests have stopped. The digest's number stays, so that an older digest that
 // arrives late is still ignored. Runs at most once a second, and only if a digest is old enough.
-auto BurdenTable::forget_lost(Microseconds now) -> void {
-    if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
+auto BurdenTable::drop_lost_digests(Microseconds now) -> void {
+    if (now - oldest_digest_at <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
-    for (auto& [node, digest] : others)
+    for (auto& [node, digest] : remote_digests)
         if (now - digest.at > options.digest_lost && !digest.replicas.empty()) take_told(node, digest, {}, digest.at);
-    others_oldest = now;
-    for (auto const& [node, digest] : others)
-        if (!digest.replicas.empty()) others_oldest = std::min(others_oldest, digest.at);
+    oldest_digest_at = now;
+    for (auto const& [node, digest] : remote_digests)
+        if (!digest.replicas.empty()) oldest_digest_at = std::min(oldest_digest_at, digest.at);
     for (auto& [name, state] : replicas) state.sum_told();
 }
 
@@ -122,8 +122,8 @@
     auto count = std::int64_t{1};
     // A silent relay does not mean that its nodes are gone: without a sum they are assumed to be active.
     if (relayed) count += summed_lost(now) ? std::max(summed.nodes, fleet_nodes - 1) : summed.nodes;
-    if (others_active == 0 || now - others_oldest < options.digest_lost) return count + others_active;
-    for (auto const& [node, digest] : others)
+    if (active_digests == 0 || now - oldest_digest_at < options.digest_lost) return count + active_digests;
+    for (auto const& [node, digest] : remote_digests)
         if (now - digest.at < options.digest_lost && !digest.replicas.empty()) ++count;
     return count;
 }
@@ -180,8 +180,8 @@
 auto BurdenTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const mine = hash_text(self, state.seed);
     auto rank = std::int64_t{0};
-    if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some digests are lost
-        for (auto const& [node, digest] : others) {
+    if (active_digests > 0 && now - oldest_digest_at >= options.digest_lost) {  // some digests are lost
+        for (auto const& [node, digest] : remote_digests) {
             if (now - digest.at >= options.digest_lost || digest.replicas.empty()) continue;
             auto const found = digest.replicas.find(state.entry.name);
             auto const theirs = found == digest.replicas.end() ? 0 : found->second.slots;
@@ -191,13 +191,13 @@
     }
     if (own == 0 && (state.orders_known != active_changes || state.orders_mine != mine)) {
         state.orders_below = 0;
-        for (auto const& [node, digest] : others)
+        for (auto const& [node, digest] : remote_digests)
             if (!digest.replicas.empty() && hash_text(node, state.seed) < mine) ++state.orders_below;
         state.orders_known = active_changes;
         state.orders_mine = mine;
     }
     // First as if no node had load there, then corrected for the nodes that do.
-    rank = own == 0 ? state.orders_below : own > 0 ? others_active : 0;
+    rank = own == 0 ? state.orders_below : own > 0 ? active_digests : 0;
     for (auto const& item : state.told) {
         auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
         auto const before = std::pair(item.slots, item.order) < std::pair(own, mine);
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -78,7 +78,7 @@
 // As rank_for, for the nodes in the sum. A sum does not say how many slots each node has there, so they are
 // assumed to be spread evenly.
 auto BurdenTable::summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
-    auto const nodes = static_cast<double>(active_nodes(now) - 1 - others_active);
+    auto const nodes = static_cast<double>(active_nodes(now) - 1 - active_digests);
     auto const order = static_cast<double>(hash_text(self, state.seed) >> 11U) / static_cast<double>(1ULL << 53U);
     auto const known = !summed_lost(now);
     auto const with = known ? std::min(nodes, static_cast<double>(state.summed.nodes)) : 0.0;
--- a/tests/burden_sums_test.cpp
+++ b/tests/burden_sums_test.cpp
@@ -9,7 +9,7 @@
 
 auto plain_active(BurdenTable const& table, Microseconds now) -> std::int64_t {
     auto count = std::int64_t{1};
-    for (auto const& [node, digest] : table.others)
+    for (auto const& [node, digest] : table.remote_digests)
         if (now - digest.at < table.options.digest_lost && !digest.replicas.empty()) ++count;
     return count;
 }
@@ -17,7 +17,7 @@
 auto plain_running(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     for (auto const& [ticket, placed] : state.placed) sum += placed.slots;
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at > table.options.digest_lost) continue;
         if (auto const found = digest.replicas.find(state.entry.name); found != digest.replicas.end())
             sum += found->second.slots;
@@ -28,7 +28,7 @@
 auto plain_reserve(BurdenTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     auto const limit = table.options.multiplier * state.entry.capacity;
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         auto const age = now - digest.at;
         if (age > table.options.digest_lost) continue;
         auto const found = digest.replicas.find(state.entry.name);
@@ -47,7 +47,7 @@
         free -= placed.memory;
         if (placed.at >= state.reported_at) reported -= placed.memory;
     }
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at > table.options.digest_lost) continue;
         auto const found = digest.replicas.find(state.entry.name);
         if (found == digest.replicas.end()) continue;
@@ -74,7 +74,7 @@
     auto const seed = hash_text(state.entry.name);
     auto const mine = hash_text(table.self, seed);
     auto rank = std::int64_t{0};
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at >= table.options.digest_lost || digest.replicas.empty()) continue;
         auto const found = digest.replicas.find(state.entry.name);
         auto const theirs = found == digest.replicas.end() ? 0 : found->second.slots;
