--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -15,7 +15,7 @@
             state.kept.clear();
             state.kept_unsure = true;
         }
-        if (state.seed == 0) tell_of(entry.name, state);
+        if (state.seed == 0) add_reported_loads(entry.name, state);
         state.entry = entry;
     }
     for (auto place = replicas.begin(); place != replicas.end();) {
@@ -116,7 +116,7 @@
 auto BurdenTable::place(
     std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread) -> void {
     auto& state = replicas.at(name);
-    state.take_away(ticket.number);
+    state.remove_placement(ticket.number);
     state.placed[ticket.number] = {ticket.body.slots, memory, now, unread};
     state.placed_slots += ticket.body.slots;
     state.placed_memory += memory;
@@ -128,7 +128,7 @@
 }
 
 auto BurdenTable::release(std::string const& name, std::uint64_t ticket) -> void {
-    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(ticket);
+    if (auto const found = replicas.find(name); found != replicas.end()) found->second.remove_placement(ticket);
 }
 
 auto BurdenTable::first_output(std::string const& name, std::uint64_t ticket) -> void {
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -124,7 +124,7 @@
     mutable std::uint64_t orders_mine = 0;
     mutable std::uint64_t orders_known = 0;
 
-    auto take_away(std::uint64_t ticket) -> void;
+    auto remove_placement(std::uint64_t ticket) -> void;
     auto count_told(Told const& item, std::int64_t sign) -> void;
     auto sum_told() -> void;
 };
@@ -215,7 +215,7 @@
     auto pool(std::string_view model) const -> std::vector<ReplicaState const*> const&;
 
    private:
-    auto tell_of(std::string const& name, ReplicaState& state) const -> void;
+    auto add_reported_loads(std::string const& name, ReplicaState& state) const -> void;
     auto update_health(Microseconds now) -> void;
     auto take_told(std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at)
         -> void;
@@ -225,7 +225,7 @@
     auto summed_lost(Microseconds now) const -> bool;
     auto summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const -> std::int64_t;
     auto summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t;
-    auto unseen(ReplicaState const& state) const -> std::int64_t;
+    auto placements_after_sum(ReplicaState const& state) const -> std::int64_t;
     auto rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t;
 };
 
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -6,7 +6,7 @@
 
 namespace dockrock {
 
-auto ReplicaState::take_away(std::uint64_t ticket) -> void {
+auto ReplicaState::remove_placement(std::uint64_t ticket) -> void {
     auto const found = placed.find(ticket);
     if (found == placed.end()) return;
     placed_slots -= found->second.slots;
@@ -35,8 +35,8 @@
 namespace {
 
 // Adds or replaces one node's load on the replica; its tie-break hash stays the same.
-auto tell(ReplicaState& state, std::string const& node, BurdenTable::Digest const& digest, OtherBurden const& item)
-    -> void {
+auto add_remote_load(
+    ReplicaState& state, std::string const& node, BurdenTable::Digest const& digest, OtherBurden const& item) -> void {
     auto found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
     if (found == state.told.end()) {
@@ -57,7 +57,7 @@
     state.told_oldest = std::min(state.told_oldest, digest.at);
 }
 
-auto untell(ReplicaState& state, std::uint64_t node) -> void {
+auto remove_remote_load(ReplicaState& state, std::uint64_t node) -> void {
     auto const found =
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == node; });
     if (found == state.told.end()) return;
@@ -69,11 +69,11 @@
 }  // namespace
 
 // For a replica that is newly listed: other nodes may have reported load on it before.
-auto BurdenTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
+auto BurdenTable::add_reported_loads(std::string const& name, ReplicaState& state) const -> void {
     state.seed = hash_text(name);
     for (auto const& [node, digest] : remote_digests)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
-            tell(state, node, digest, found->second);
+            add_remote_load(state, node, digest, found->second);
 }
 
 auto BurdenTable::take_told(
@@ -83,10 +83,12 @@
     digest.at = at;
     for (auto const& [name, item] : digest.replicas)
         if (!told.contains(name))
-            if (auto const found = replicas.find(name); found != replicas.end()) untell(found->second, digest.node);
+            if (auto const found = replicas.find(name); found != replicas.end())
+                remove_remote_load(found->second, digest.node);
     digest.replicas = std::move(told);
     for (auto const& [name, item] : digest.replicas)
-        if (auto const found = replicas.find(name); found != replicas.end()) tell(found->second, node, digest, item);
+        if (auto const found = replicas.find(name); found != replicas.end())
+            add_remote_load(found->second, node, digest, item);
     auto const active = !digest.replicas.empty();
     if (active) oldest_digest_at = active_digests == 0 ? at : std::min(oldest_digest_at, at);
     if (active == was_active) return;
@@ -219,7 +221,7 @@
     if (left > nodes || nodes == 1) return true;
     if (options.idle_open && 2 * left > limit) return true;
     // Through relays a report takes longer to arrive than the interval between two reports.
-    auto const untold = relayed ? unseen(state) : state.untold;
+    auto const untold = relayed ? placements_after_sum(state) : state.untold;
     if (untold >= std::max<std::int64_t>(1, left / nodes)) return false;
     return rank_for(state, own, now) + (relayed ? summed_rank(state, own, now) : 0) < left;
 }
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -7,7 +7,7 @@
 namespace dockrock {
 
 namespace {
-constexpr auto words_kept = std::size_t{16};
+constexpr auto own_reports_limit = std::size_t{16};
 }
 
 auto BurdenTable::make_told(std::uint64_t number, Microseconds now) -> std::string {
@@ -19,7 +19,7 @@
               (item.unread + tokens_in_unread - 1) / tokens_in_unread, item.ended, item.failed}});
     auto text = write_loads(told);
     own_told.emplace_back(number, std::move(told));
-    if (own_told.size() > words_kept) own_told.pop_front();
+    if (own_told.size() > own_reports_limit) own_told.pop_front();
     return text;
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Own placements that are not in the last sum yet.
-auto BurdenTable::unseen(ReplicaState const& state) const -> std::int64_t {
+auto BurdenTable::placements_after_sum(ReplicaState const& state) const -> std::int64_t {
     auto const seen = static_cast<Microseconds>(summed.echo);
     return std::count_if(state.recent.begin(), state.recent.end(), [&](auto at) { return at > seen; });
 }
