--- a/source/ticket/burden.cpp
+++ b/source/ticket/burden.cpp
@@ -15,7 +15,7 @@
             state.kept.clear();
             state.kept_unsure = true;
         }
-        if (state.seed == 0) add_reported_loads(entry.name, state);
+        if (state.name_hash == 0) add_reported_loads(entry.name, state);
         state.entry = entry;
     }
     for (auto place = replicas.begin(); place != replicas.end();) {
--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -100,8 +100,8 @@
     // Another node's load on this replica. Held for each replica, so that a placement need not search the
     // digests of all nodes (design 9.4).
     struct Told {
-        std::uint64_t node = 0;   // Digest::node
-        std::uint64_t order = 0;  // breaks ties for this replica's last places
+        std::uint64_t node = 0;       // Digest::node
+        std::uint64_t tie_break = 0;  // breaks ties for this replica's last places
         Microseconds at = 0;
         std::int64_t slots = 0;
         std::int64_t memory = 0;
@@ -117,12 +117,12 @@
     std::int64_t told_unread = 0;
     std::int64_t told_unreported = 0;  // of the loads newer than reported_at
     Microseconds told_oldest = 0;      // lower bound of their times, raised from time to time
-    std::uint64_t seed = 0;            // hash of its name
+    std::uint64_t name_hash = 0;       // hash of its name
     Load summed;                       // sum over all other nodes, from a relay (design 9.8)
-    // Active nodes whose tie-break hash is below `orders_mine`; recounted when the set of active nodes changes.
-    mutable std::int64_t orders_below = 0;
-    mutable std::uint64_t orders_mine = 0;
-    mutable std::uint64_t orders_known = 0;
+    // Active nodes whose tie-break hash is below `preceding_own_hash`; recounted when the set of active nodes changes.
+    mutable std::int64_t preceding_nodes = 0;
+    mutable std::uint64_t preceding_own_hash = 0;
+    mutable std::uint64_t preceding_counted_at = 0;
 
     auto remove_placement(std::uint64_t ticket) -> void;
     auto count_told(Told const& item, std::int64_t sign) -> void;
--- a/source/ticket/burden_room.cpp
+++ b/source/ticket/burden_room.cpp
@@ -41,7 +41,7 @@
         std::find_if(state.told.begin(), state.told.end(), [&](auto const& told) { return told.node == digest.node; });
     if (found == state.told.end()) {
         if (state.told.empty()) state.told_oldest = digest.at;
-        state.told.push_back({digest.node, hash_text(node, state.seed)});
+        state.told.push_back({digest.node, hash_text(node, state.name_hash)});
         found = state.told.end() - 1;
     }
     state.count_told(*found, -1);
@@ -70,7 +70,7 @@
 
 // For a replica that is newly listed: other nodes may have reported load on it before.
 auto BurdenTable::add_reported_loads(std::string const& name, ReplicaState& state) const -> void {
-    state.seed = hash_text(name);
+    state.name_hash = hash_text(name);
     for (auto const& [node, digest] : remote_digests)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
             add_remote_load(state, node, digest, found->second);
@@ -180,29 +180,29 @@
 // The number of other nodes that precede this one for a replica's last places. Nodes with the fewest slots there
 // come first, since a fixed order would starve a node.
 auto BurdenTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
-    auto const mine = hash_text(self, state.seed);
+    auto const mine = hash_text(self, state.name_hash);
     auto rank = std::int64_t{0};
     if (active_digests > 0 && now - oldest_digest_at >= options.digest_lost) {  // some digests are lost
         for (auto const& [node, digest] : remote_digests) {
             if (now - digest.at >= options.digest_lost || digest.replicas.empty()) continue;
             auto const found = digest.replicas.find(state.entry.name);
             auto const theirs = found == digest.replicas.end() ? 0 : found->second.slots;
-            if (std::pair(theirs, hash_text(node, state.seed)) < std::pair(own, mine)) ++rank;
+            if (std::pair(theirs, hash_text(node, state.name_hash)) < std::pair(own, mine)) ++rank;
         }
         return rank;
     }
-    if (own == 0 && (state.orders_known != active_changes || state.orders_mine != mine)) {
-        state.orders_below = 0;
+    if (own == 0 && (state.preceding_counted_at != active_changes || state.preceding_own_hash != mine)) {
+        state.preceding_nodes = 0;
         for (auto const& [node, digest] : remote_digests)
-            if (!digest.replicas.empty() && hash_text(node, state.seed) < mine) ++state.orders_below;
-        state.orders_known = active_changes;
-        state.orders_mine = mine;
+            if (!digest.replicas.empty() && hash_text(node, state.name_hash) < mine) ++state.preceding_nodes;
+        state.preceding_counted_at = active_changes;
+        state.preceding_own_hash = mine;
     }
     // First as if no node had load there, then corrected for the nodes that do.
-    rank = own == 0 ? state.orders_below : own > 0 ? active_digests : 0;
+    rank = own == 0 ? state.preceding_nodes : own > 0 ? active_digests : 0;
     for (auto const& item : state.told) {
-        auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
-        auto const before = std::pair(item.slots, item.order) < std::pair(own, mine);
+        auto const counted = std::pair(std::int64_t{0}, item.tie_break) < std::pair(own, mine);
+        auto const before = std::pair(item.slots, item.tie_break) < std::pair(own, mine);
         rank += static_cast<std::int64_t>(before) - static_cast<std::int64_t>(counted);
     }
     return rank;
--- a/source/ticket/burden_summed.cpp
+++ b/source/ticket/burden_summed.cpp
@@ -79,7 +79,7 @@
 // assumed to be spread evenly.
 auto BurdenTable::summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
     auto const nodes = static_cast<double>(active_nodes(now) - 1 - active_digests);
-    auto const order = static_cast<double>(hash_text(self, state.seed) >> 11U) / static_cast<double>(1ULL << 53U);
+    auto const order = static_cast<double>(hash_text(self, state.name_hash) >> 11U) / static_cast<double>(1ULL << 53U);
     auto const known = !summed_lost(now);
     auto const with = known ? std::min(nodes, static_cast<double>(state.summed.nodes)) : 0.0;
     if (own <= 0) return static_cast<std::int64_t>(order * (nodes - with));
