--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -110,7 +110,7 @@
     }
     auto const entry = node.table.leave(number);
     if (entry.shed)
-        co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+        co_return course.was_shed(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
 }
 
@@ -144,7 +144,7 @@
     for (auto step = course.begin();;) {
         answer.trace.outcome = step_names[static_cast<std::size_t>(step.step)];
         if (!step.reason.empty()) answer.trace.outcome += ": " + step.reason;
-        if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
+        if (!step.release_replica.empty()) node.release(step.release_replica, course.ticket.number);
         switch (step.step) {
             case Step::enter: {
                 auto const entered_at = clock_now();
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -52,7 +52,7 @@
     auto const entry = node.table.leave(number);
     node.measures.waiting(course.ticket).add(clock_now() - began);
     if (entry.shed)
-        co_return course.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+        co_return course.was_shed(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
 }
 
@@ -114,7 +114,7 @@
         log_ticket(
             course.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
             course.placement.replica);
-        if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
+        if (!step.release_replica.empty()) node.release(step.release_replica, course.ticket.number);
         if (step.release_claim) node.make_claim(course.ticket, true, {});
         switch (step.step) {
             case Step::enter: step = co_await enter_buffer(course); break;
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -40,7 +40,7 @@
 }
 
 // Ends the request without another try. Not a refusal if a try may have run (design 10.1).
-auto Course::give_up(std::string reason, std::int64_t retry_after) const -> CourseStep {
+auto Course::end_without_retry(std::string reason, std::int64_t retry_after) const -> CourseStep {
     CourseStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
     step.release_claim = claim_held && !history.may_have_run;
@@ -50,8 +50,8 @@
     return step;
 }
 
-auto Course::given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep {
-    return give_up(std::string(reason), retry_after);
+auto Course::was_shed(std::string_view reason, std::int64_t retry_after) -> CourseStep {
+    return end_without_retry(std::string(reason), retry_after);
 }
 
 auto Course::placed(Placement given, CourseFacts const& facts) -> CourseStep {
@@ -74,9 +74,10 @@
     if (state == ClaimState::seen) {
         step.step = Step::answer_seen;
     } else {  // it is unknown who holds the claim, so the request is never sent
-        step = give_up(state == ClaimState::full ? "claims-full" : "no-claim", state == ClaimState::full ? 30 : 2);
+        step = end_without_retry(
+            state == ClaimState::full ? "claims-full" : "no-claim", state == ClaimState::full ? 30 : 2);
     }
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     return step;
 }
 
@@ -84,8 +85,8 @@
 auto Course::last_checks(CourseFacts const& facts) -> CourseStep {
     if (facts.rules != rules) return {Step::interpret};
     if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // no time is left for the replica
-        auto step = give_up("deadline", 1);
-        step.give_back = placement.replica;
+        auto step = end_without_retry("deadline", 1);
+        step.release_replica = placement.replica;
         return step;
     }
     if (facts.listed && facts.proof_age <= facts.proof_limit) return {Step::send};
@@ -98,18 +99,18 @@
     ticket.counted = true;
     CourseStep step;
     step.step = Step::enter;
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     return step;
 }
 
 auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep {
     rules = under;
     CourseStep step;
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     if (verdict.kind != Verdict::Kind::enter) {
         if (facts.proof_age > facts.refusal_limit) {  // a newer configuration may allow it
-            step = give_up("not-fresh", 1);
-            step.give_back = placement.replica;
+            step = end_without_retry("not-fresh", 1);
+            step.release_replica = placement.replica;
             return step;
         }
         step.step = step_for(retry::without_another_try(request_facts()));
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -30,8 +30,8 @@
 // What the connection has to do next.
 struct CourseStep {
     Step step = Step::finished;
-    std::string give_back;       // replica whose reserved place is to be released; empty: none
-    bool release_claim = false;  // it never ran: release the claim of its identity
+    std::string release_replica;  // replica whose reserved place is to be released; empty: none
+    bool release_claim = false;   // it never ran: release the claim of its identity
     std::string reason;
     int status = 0;
     std::int64_t retry_after = 1;
@@ -63,7 +63,7 @@
 
     auto begin() const -> CourseStep { return {Step::enter}; }
     auto placed(Placement given, CourseFacts const& facts) -> CourseStep;
-    auto given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep;
+    auto was_shed(std::string_view reason, std::int64_t retry_after) -> CourseStep;
     auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts) -> CourseStep;
     auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
     // The current try has ended. `limits.tries_left` is set here.
@@ -83,7 +83,7 @@
     auto enter_back() -> CourseStep;
     auto request_facts() const -> RetryRequest;
     auto take_rules(Ticket const& judged_ticket) -> void;
-    auto give_up(std::string reason, std::int64_t retry_after) const -> CourseStep;
+    auto end_without_retry(std::string reason, std::int64_t retry_after) const -> CourseStep;
 };
 
 // The key under which an identity is claimed: unique for model, tenant and identity.
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -149,7 +149,7 @@
         auto other = course;
         auto const step = other.claimed(state, 1, 0, good_facts());
         CHECK(step.step == (state == ClaimState::seen ? Step::answer_seen : Step::answer_shed));
-        CHECK(step.give_back == "r0");
+        CHECK(step.release_replica == "r0");
     }
     auto frozen = good_facts();
     frozen.now = 2 * claim_use_limit;
@@ -159,10 +159,10 @@
     auto held = course;
     auto const again = held.claimed(ClaimState::granted, 1, 0, drained);
     CHECK(again.step == Step::enter);
-    CHECK(again.give_back == "r0");
+    CHECK(again.release_replica == "r0");
     CHECK(held.ticket.counted);
     CHECK(held.placed(placement(), good_facts()).step == Step::send);  // the claim is held
-    CHECK(held.given_up("deadline", 3).release_claim);
+    CHECK(held.was_shed("deadline", 3).release_claim);
     auto moved = good_facts();
     moved.rules = {1, 5};
     CHECK(held.placed(placement(), moved).step == Step::interpret);
@@ -182,8 +182,8 @@
     course.ticket.body.run_once = false;
     course.placed(placement(), good_facts());
     CHECK(course.ended(TryEnd::unknown_before, "broke").step == Step::enter);
-    CHECK(course.given_up("deadline", 1).step == Step::answer_unknown);
-    CHECK_FALSE(course.given_up("deadline", 1).release_claim);
+    CHECK(course.was_shed("deadline", 1).step == Step::answer_unknown);
+    CHECK_FALSE(course.was_shed("deadline", 1).release_claim);
     CHECK_FALSE(course.gone().release_claim);
     auto once = course_of(true);
     once.claim_held = true;
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -76,7 +76,7 @@
     REQUIRE(wire.send(Wire::request("id-1", 4), course, answer, verdict).held_back);
     auto const step = course.held_back();
     CHECK(step.step == Step::enter);
-    CHECK(step.give_back == "life-1");
+    CHECK(step.release_replica == "life-1");
     CHECK(course.try_number == 1);
     CHECK_FALSE(course.avoid);
     CHECK(course.may_have_run == 0);
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -48,7 +48,7 @@
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
     auto& course = found->second.course;
-    if (!step.give_back.empty()) plane.granting.burden.release(step.give_back, number);
+    if (!step.release_replica.empty()) plane.granting.burden.release(step.release_replica, number);
     auto const ticket = claim_ticket(world.nodes[index]->control.membership.self.identity, number);
     auto const part = partition_of_service(course.ticket.body.model);
     if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(course.ticket), ticket, true}, {});
@@ -110,7 +110,7 @@
         found->second.entered = false;
         drive(
             index, shed.ticket,
-            found->second.course.given_up(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
+            found->second.course.was_shed(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
     }
     for (auto const& placement : decisions.placements) {  // between the match and the checks a node may be frozen
         if (auto const found = plane.courses.find(placement.ticket); found != plane.courses.end())
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -138,7 +138,7 @@
     auto begun = course;
     auto const step = course.judged(judged(after, "id-1").verdict, facts.rules, facts);
     CHECK(step.step == Step::enter);
-    CHECK(step.give_back == "life-of-a");
+    CHECK(step.release_replica == "life-of-a");
     CHECK(course.ticket.body.model == "b");
     CHECK(course.ticket.number == 7);
     begun.history.output_begun = true;  // a stream under way goes on where it began
