--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -90,13 +90,13 @@
         return step;
     }
     if (facts.listed && facts.proof_age <= facts.proof_limit) return {Step::send};
-    return enter_back();
+    return requeue();
 }
 
 // Queues it again. Nothing was sent: neither a retry nor a new request for the retry budget.
-auto Course::enter_back() -> CourseStep {
+auto Course::requeue() -> CourseStep {
     avoid.reset();
-    ticket.counted = true;
+    ticket.in_retry_budget = true;
     CourseStep step;
     step.step = Step::enter;
     step.release_replica = placement.replica;
@@ -120,7 +120,7 @@
         step.reason = verdict.reason;
         return step;
     }
-    take_rules(verdict.ticket);
+    restrict_retries(verdict.ticket);
     if (ticket.body.run_once && history.may_have_run) {  // it was repeatable and no longer is
         step.step = step_for(retry::without_another_try(request_facts()));
         return step;
@@ -136,11 +136,11 @@
     verdict.ticket.body.run_once = ticket.body.run_once;
     verdict.ticket.tries = ticket.tries;
     ticket = std::move(verdict.ticket);
-    return enter_back();
+    return requeue();
 }
 
 // Rules that change while a request is queued can only restrict its retries further.
-auto Course::take_rules(Ticket const& judged_ticket) -> void {
+auto Course::restrict_retries(Ticket const& judged_ticket) -> void {
     ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
     ticket.tries = std::min(ticket.tries, judged_ticket.tries);
 }
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -70,7 +70,7 @@
     auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> CourseStep;
     // The rules, the replica list or the proof changed just before the request was written. Nothing was sent, so
     // it does not count as a try.
-    auto held_back() -> CourseStep { return enter_back(); }
+    auto held_back() -> CourseStep { return requeue(); }
     auto gone() const -> CourseStep;  // the client disconnected
     // Repeats the checks before sending after a delay, such as opening a connection.
     auto may_be_sent(CourseFacts const& facts) const -> bool {
@@ -80,9 +80,9 @@
 
    private:
     auto last_checks(CourseFacts const& facts) -> CourseStep;
-    auto enter_back() -> CourseStep;
+    auto requeue() -> CourseStep;
     auto request_facts() const -> RetryRequest;
-    auto take_rules(Ticket const& judged_ticket) -> void;
+    auto restrict_retries(Ticket const& judged_ticket) -> void;
     auto end_without_retry(std::string reason, std::int64_t retry_after) const -> CourseStep;
 };
 
--- a/source/ticket/granting.cpp
+++ b/source/ticket/granting.cpp
@@ -34,7 +34,7 @@
 }
 
 auto Granting::enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void {
-    if (!ticket.counted) budget.ticket_came();
+    if (!ticket.in_retry_budget) budget.ticket_came();
     auto& buffer = buffers[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
--- a/source/ticket/ticket.hpp
+++ b/source/ticket/ticket.hpp
@@ -41,7 +41,7 @@
     std::int64_t prompt_tokens = 0;
     std::int64_t prefix_tokens = 0;
     std::int64_t tries = unlimited_tries;  // maximum number of replicas that it is sent to
-    bool counted = false;                  // queued before: adds nothing more to the retry budget
+    bool in_retry_budget = false;          // queued before: adds nothing more to the retry budget
     std::vector<std::uint64_t> chain;      // hash of each prefix of the parts, with isolation and model mixed in
     bool independent_parts = false;        // `chain` has one hash for each single part instead
     std::uint64_t affinity = 0;            // equal for requests that share a prefix; 0: no prefix
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -160,7 +160,7 @@
     auto const again = held.claimed(ClaimState::granted, 1, 0, drained);
     CHECK(again.step == Step::enter);
     CHECK(again.release_replica == "r0");
-    CHECK(held.ticket.counted);
+    CHECK(held.ticket.in_retry_budget);
     CHECK(held.placed(placement(), good_facts()).step == Step::send);  // the claim is held
     CHECK(held.was_shed("deadline", 3).release_claim);
     auto moved = good_facts();
