--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -101,7 +101,7 @@
     reason = not_run ? refusal_reason(status) : "replica-broke";
     if (failure) co_return;
     if (!not_run) {
-        facts.received = retry::promises_not_run(status) ? Received::false_promise : Received::failure;
+        facts.received = retry::means_not_run(status) ? Received::unconfirmed_not_run : Received::failure;
         reason = "replica-failed";
     }
     if (facts.received == Received::failure) {
--- a/source/ticket/retry_decision.hpp
+++ b/source/ticket/retry_decision.hpp
@@ -18,13 +18,13 @@
 
 // The most that was received in response to this request.
 enum class Received : int {
-    nothing,            // silence, close, reset, no valid response, or only responses to other requests
-    not_run,            // the replica states that it has not run this request and never will
-    seen_before,        // as not_run, since another request of this identity was accepted
-    failure,            // a complete error response of the replica
-    false_promise,      // an error status that means "not run" to clients, without the replica's statement
-    cut_before_output,  // a partial response; nothing of it was sent to the client
-    cut_after_output,   // a partial response; the client has a part of it
+    nothing,              // silence, close, reset, no valid response, or only responses to other requests
+    not_run,              // the replica states that it has not run this request and never will
+    seen_before,          // as not_run, since another request of this identity was accepted
+    failure,              // a complete error response of the replica
+    unconfirmed_not_run,  // an error status that means "not run" to clients, without the replica's statement
+    cut_before_output,    // a partial response; nothing of it was sent to the client
+    cut_after_output,     // a partial response; the client has a part of it
     complete,
 };
 
@@ -88,7 +88,7 @@
         case Received::failure: return TryEnd::answered_failure;
         case Received::cut_after_output:
             return facts.output_resumable ? TryEnd::broken_resumable : TryEnd::broken_after;
-        case Received::false_promise:
+        case Received::unconfirmed_not_run:
         case Received::cut_before_output: return TryEnd::unknown_before;
         default: break;
     }
@@ -143,7 +143,7 @@
 
 // Statuses that tell a client that its request has not run. A replica's response with one of them is passed on
 // only if the replica also states that it did not run the request.
-constexpr auto promises_not_run(int status) -> bool {
+constexpr auto means_not_run(int status) -> bool {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
