--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 inline constexpr auto wall_names = std::to_array<std::string_view>({"shared", "group", "isolated"});
-inline constexpr auto whole_fleet = std::string_view("fleet");
-inline constexpr auto deepest_branch = 16;
-inline constexpr auto most_tenants = std::size_t{4'096};
+inline constexpr auto fleet_domain = std::string_view("fleet");
+inline constexpr auto max_tree_depth = 16;
+inline constexpr auto max_tenants = std::size_t{4'096};
 
 auto group_domain(std::string_view path) -> std::string { return "group:" + std::string(path); }
 
 struct Inherited {
     Wall wall = Wall::shared;
-    std::string wall_domain = std::string(whole_fleet);
+    std::string wall_domain = std::string(fleet_domain);
     int rank = 0;
     int share = 1;
     std::vector<Key> keys;
@@ -103,7 +103,7 @@
     auto group(
         GroupBranch const& branch, Inherited const& above, std::string const& path, std::string const& tree_path,
         int depth) -> void {
-        if (depth > deepest_branch) return problem(path, "the tree is deeper than 16 groups");
+        if (depth > max_tree_depth) return problem(path, "the tree is deeper than 16 groups");
         auto const here = inherit(branch, above, path, tree_path);
         std::set<std::string> names;
         for (auto index = std::size_t{0}; index < branch.groups.size(); ++index) {
@@ -118,7 +118,7 @@
             auto const tenant_path = tree_path + "/" + tenant.name;
             auto const mine = inherit(tenant, here, place, tenant_path);
             if (!tenant_names.insert(tenant.name).second) problem(place + "/name", "another tenant has this name");
-            if (result.tenants.size() >= most_tenants) return problem(place, "more than 4096 tenants");
+            if (result.tenants.size() >= max_tenants) return problem(place, "more than 4096 tenants");
             auto const domain = mine.wall == Wall::isolated ? isolated_scope(tenant_path) : mine.wall_domain;
             result.tenants.push_back(
                 {tenant_path, tenant.name, mine.wall, domain, domain, mine.rank, mine.share, mine.keys, mine.keys_from,
@@ -128,8 +128,8 @@
 };
 
 // The domains of all branches above a path of the tree, whether or not they are isolated.
-auto domains_around(std::string const& path) -> std::vector<std::string> {
-    auto domains = std::vector<std::string>(1, std::string(whole_fleet));
+auto enclosing_domains(std::string const& path) -> std::vector<std::string> {
+    auto domains = std::vector<std::string>(1, std::string(fleet_domain));
     for (auto end = path.find('/', 1); end != std::string::npos; end = path.find('/', end + 1))
         domains.push_back(group_domain(path.substr(0, end)));
     return domains;
@@ -139,7 +139,7 @@
     std::map<std::string, std::set<std::string>> walled_off;  // sharing domain -> domains within it that are isolated
     for (auto const& tenant : tenants) walled_off[tenant.wall_domain];
     for (auto const& tenant : tenants)
-        for (auto const& domain : domains_around(tenant.path))
+        for (auto const& domain : enclosing_domains(tenant.path))
             if (auto const found = walled_off.find(domain); found != walled_off.end() && domain != tenant.wall_domain)
                 found->second.insert(tenant.wall_domain);
     for (auto& tenant : tenants)
--- a/source/sequence/patch.cpp
+++ b/source/sequence/patch.cpp
@@ -41,7 +41,7 @@
 auto apply_patch(std::string const& document, std::string const& patch) -> Patched {
     auto const shape = parse_json(patch);
     if (!shape || !shape->is_array()) return {400, {"", "not a JSON Patch: a list of operations"}, ""};
-    if (shape->as_array().size() > most_patch_operations) return {413, {"", "more than 256 operations"}, ""};
+    if (shape->as_array().size() > max_patch_operations) return {413, {"", "more than 256 operations"}, ""};
     auto tree = Tree::parse(document.empty() ? "null" : document, nullptr, false);
     auto const operations = Tree::parse(patch, nullptr, false);
     if (tree.is_discarded() || operations.is_discarded()) return {400, {"", "not JSON"}, ""};
--- a/source/sequence/patch.hpp
+++ b/source/sequence/patch.hpp
@@ -4,7 +4,7 @@
 
 namespace dockrock {
 
-inline constexpr auto most_patch_operations = std::size_t{256};
+inline constexpr auto max_patch_operations = std::size_t{256};
 
 struct Patched {
     int status = 0;   // 200; 400: bad patch; 412: a "test" operation failed; 413: too large
--- a/source/version/services.cpp
+++ b/source/version/services.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr auto most_weight = std::int64_t{1'000'000'000};
+constexpr auto max_weight = std::int64_t{1'000'000'000};
 
 auto lower_case(std::string_view text) -> std::string {
     std::string lower(text);
@@ -54,8 +54,8 @@
             auto const place = path + "/" + std::to_string(index);
             auto const& entry = route.split[index];
             if (!services.contains(entry.service)) problem(place + "/service", "no service of this name");
-            if (entry.weight < 0 || entry.weight > most_weight)
-                problem(place + "/weight", "must be 0 to " + std::to_string(most_weight));
+            if (entry.weight < 0 || entry.weight > max_weight)
+                problem(place + "/weight", "must be 0 to " + std::to_string(max_weight));
             else sum += entry.weight;
         }
         if (sum == 0) problem(path, "the weights must not sum to 0");
