--- a/source/sequence/plan.cpp
+++ b/source/sequence/plan.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-inline constexpr auto wall_words = std::to_array<char const*>({"shared", "group", "isolated"});
+inline constexpr auto isolation_words = std::to_array<char const*>({"shared", "group", "isolated"});
 inline constexpr auto subjects =
     std::to_array<char const*>({"models", "kinds", "mappings", "limits", "tenants", "keys", "walls", "partitions"});
 
@@ -52,11 +52,12 @@
     return facts;
 }
 
-auto wall_facts(CheckedConfiguration const& checked) -> Facts {
+auto isolation_facts(CheckedConfiguration const& checked) -> Facts {
     Facts facts;
     for (auto const& tenant : checked.tenants)
         facts[tenant.path] = {
-            {"wall", wall_words[static_cast<std::size_t>(tenant.wall)]}, {"memory_shared_within", tenant.wall_domain}};
+            {"wall", isolation_words[static_cast<std::size_t>(tenant.wall)]},
+            {"memory_shared_within", tenant.wall_domain}};
     return facts;
 }
 
@@ -105,7 +106,7 @@
 }
 
 // A service is stored in the partition that its name hashes to, and so on that partition's leader and followers.
-auto part_facts(CheckedConfiguration const& checked, std::vector<PlanPartition> const& partitions) -> Facts {
+auto partition_facts(CheckedConfiguration const& checked, std::vector<PlanPartition> const& partitions) -> Facts {
     Facts facts;
     for (auto const& model : checked.configuration.models) {
         auto const name = std::string(partition_names[static_cast<std::size_t>(partition_of_service(model.name))]);
@@ -133,8 +134,8 @@
     plan["limits"] = compare(limit_facts(before), limit_facts(after));
     plan["tenants"] = compare(tenant_facts(before), tenant_facts(after));
     plan["keys"] = compare(key_facts(before), key_facts(after));
-    plan["walls"] = compare(wall_facts(before), wall_facts(after));
-    plan["partitions"] = compare(part_facts(before, partitions), part_facts(after, partitions));
+    plan["walls"] = compare(isolation_facts(before), isolation_facts(after));
+    plan["partitions"] = compare(partition_facts(before, partitions), partition_facts(after, partitions));
     return plan;
 }
 
