--- a/source/ticket/burden.hpp
+++ b/source/ticket/burden.hpp
@@ -78,9 +78,9 @@
         bool failed = false;
     };
     std::map<std::uint64_t, Placed> placed;
-    std::int64_t placed_slots = 0;  // sums over `placed`; placed_since: memory placed since reported_at
+    std::int64_t placed_slots = 0;  // sums over `placed`
     std::int64_t placed_memory = 0;
-    std::int64_t placed_since = 0;
+    std::int64_t placed_since = 0;  // memory placed since reported_at
     std::int64_t placed_unread = 0;
     std::deque<Outcome> outcomes;  // of own tries, within `outcome_window`
     ReplicaHealth health;
@@ -101,7 +101,7 @@
     // digests of all nodes (design 9.4).
     struct Told {
         std::uint64_t node = 0;       // Digest::node
-        std::uint64_t tie_break = 0;  // breaks ties for this replica's last places
+        std::uint64_t tie_break = 0;  // hash that orders the nodes for this replica's last places
         Microseconds at = 0;
         std::int64_t slots = 0;
         std::int64_t memory = 0;
@@ -117,8 +117,8 @@
     std::int64_t told_unread = 0;
     std::int64_t told_unreported = 0;  // of the loads newer than reported_at
     Microseconds told_oldest = 0;      // lower bound of their times, raised from time to time
-    std::uint64_t name_hash = 0;       // hash of its name
-    Load summed;                       // sum over all other nodes, from a relay (design 9.8)
+    std::uint64_t name_hash = 0;
+    Load summed;  // sum over all other nodes, from a relay (design 9.8)
     // Active nodes whose tie-break hash is below `preceding_own_hash`; recounted when the set of active nodes changes.
     mutable std::int64_t preceding_nodes = 0;
     mutable std::uint64_t preceding_own_hash = 0;
@@ -170,7 +170,7 @@
     bool relayed = false;
     std::int64_t fleet_nodes = 1;  // nodes assumed alive while no relay reports more
     Summed summed;
-    std::deque<std::pair<std::uint64_t, Loads>> own_told;
+    std::deque<std::pair<std::uint64_t, Loads>> own_told;  // number and loads
 
     BurdenTable() = default;
     BurdenTable(BurdenTable&&) = default;  // move-only: `pools` points into `replicas`
@@ -179,7 +179,7 @@
     auto take_list(ReplicaList const& list) -> void;
     auto take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void;
     auto take_weights(std::string const& name, std::string const& weights, bool loading) -> void;
-    // An event of a replica's prefix cache. After a gap or a restart call forget_parts.
+    // An event of a replica's prefix cache. After missed events or a restart of the replica forget_parts is called.
     auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool kept) -> void {
         take_part(name, part, hash_text(weights), kept);
     }
@@ -199,7 +199,7 @@
     auto ended(std::string const& name, bool failed, Microseconds now) -> void;
     auto release(std::string const& name, std::uint64_t ticket) -> void;
 
-    // Slots in use, by all nodes; `reserve`: slots that others may have taken since their digests.
+    // Slots in use by requests of all nodes. reserve(): slots that others may have taken since their digests.
     auto running(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
