--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -158,7 +158,7 @@
                 auto later = judge(request, course.ticket.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enter) judged = std::move(later.verdict);
-                step = course.judged(verdict, later.rules, facts);
+                step = course.reinterpreted(verdict, later.rules, facts);
                 break;
             }
             case Step::send: {
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -122,7 +122,7 @@
             case Step::interpret: {
                 auto const facts = node.facts_for(course.placement.replica);
                 auto [later, current] = co_await interpret_now(request);
-                step = course.judged(std::move(later), current->rules->sequence, facts);
+                step = course.reinterpreted(std::move(later), current->rules->sequence, facts);
                 break;
             }
             case Step::send: step = co_await send_try(request, course, usable); break;
--- a/source/ticket/course.cpp
+++ b/source/ticket/course.cpp
@@ -103,7 +103,7 @@
     return step;
 }
 
-auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep {
+auto Course::reinterpreted(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep {
     rules = under;
     CourseStep step;
     step.release_replica = placement.replica;
--- a/source/ticket/course.hpp
+++ b/source/ticket/course.hpp
@@ -65,7 +65,7 @@
     auto placed(Placement given, CourseFacts const& facts) -> CourseStep;
     auto was_shed(std::string_view reason, std::int64_t retry_after) -> CourseStep;
     auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts) -> CourseStep;
-    auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
+    auto reinterpreted(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
     // The current try has ended. `limits.tries_left` is set here.
     auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> CourseStep;
     // The rules, the replica list or the proof changed just before the request was written. Nothing was sent, so
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -168,7 +168,7 @@
     CHECK(held.placed(placement(), moved).step == Step::interpret);
     Verdict refused;
     refused.status = 401;
-    auto const told = Course(held).judged(refused, {1, 5}, moved);
+    auto const told = Course(held).reinterpreted(refused, {1, 5}, moved);
     CHECK(told.step == Step::answer_refused);
     CHECK(told.release_claim);
     auto stale = good_facts();
--- a/tests/retry_decision_test.cpp
+++ b/tests/retry_decision_test.cpp
@@ -167,11 +167,11 @@
     verdict.kind = Verdict::Kind::enter;
     verdict.ticket.body.run_once = true;
     verdict.ticket.tries = 9;
-    CHECK(course.judged(verdict, {1, 2}, CourseFacts()).step == Step::answer_unknown);
+    CHECK(course.reinterpreted(verdict, {1, 2}, CourseFacts()).step == Step::answer_unknown);
     CHECK(course.ticket.tries == 3);
     auto fresh = Course();
     verdict.ticket.chain = {7};  // queued again, as a request that runs once
     fresh.ticket.body.run_once = false;
-    CHECK(fresh.judged(verdict, {1, 2}, CourseFacts()).step == Step::enter);
+    CHECK(fresh.reinterpreted(verdict, {1, 2}, CourseFacts()).step == Step::enter);
     CHECK(fresh.ticket.body.run_once);
 }
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -70,7 +70,7 @@
             auto verdict = judge_ticket(index, number);
             auto const under = plane.snapshot->rules->sequence;
             return drive(
-                index, number, course.judged(std::move(verdict), under, facts(index, course.placement.replica)));
+                index, number, course.reinterpreted(std::move(verdict), under, facts(index, course.placement.replica)));
         }
         case Step::send: return send(index, number);
         case Step::answer_shed:
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -136,12 +136,12 @@
     placement.replica = "life-of-a";
     REQUIRE(course.placed(placement, facts).step == Step::interpret);
     auto begun = course;
-    auto const step = course.judged(judged(after, "id-1").verdict, facts.rules, facts);
+    auto const step = course.reinterpreted(judged(after, "id-1").verdict, facts.rules, facts);
     CHECK(step.step == Step::enter);
     CHECK(step.release_replica == "life-of-a");
     CHECK(course.ticket.body.model == "b");
     CHECK(course.ticket.number == 7);
     begun.history.output_begun = true;  // a stream under way goes on where it began
-    CHECK(begun.judged(judged(after, "id-1").verdict, facts.rules, facts).step == Step::send);
+    CHECK(begun.reinterpreted(judged(after, "id-1").verdict, facts.rules, facts).step == Step::send);
     CHECK(begun.ticket.body.model == "a");
 }
--- a/tests/stale_course_test.cpp
+++ b/tests/stale_course_test.cpp
@@ -19,11 +19,11 @@
         auto facts = CourseFacts();
         facts.proof_limit = 5 * one_second;
         facts.proof_age = young_proof;
-        auto const young = course.judged(verdict, {1, 1}, facts);
+        auto const young = course.reinterpreted(verdict, {1, 1}, facts);
         CHECK(young.step == Step::answer_refused);
         CHECK(young.status == status);
         facts.proof_age = old_proof;
-        auto const old = course.judged(verdict, {1, 1}, facts);
+        auto const old = course.reinterpreted(verdict, {1, 1}, facts);
         CHECK((old.step == Step::answer_shed || old.step == Step::answer_refused));
         CHECK(old.status == 503);
     }
