--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -118,7 +118,7 @@
         node.counters.prefix_tokens += static_cast<std::uint64_t>(ticket.prefix_tokens);
         if (took > 0) {  // measured link speed, for the fetch planner (design 9.7)
             auto const guard = std::lock_guard(node.table.lock);
-            node.table.granting.fetched(placement.fetch.source, placement.replica, fetched, took, clock_now());
+            node.table.granting.record_fetch(placement.fetch.source, placement.replica, fetched, took, clock_now());
             node.counters.fetched_tokens += static_cast<std::uint64_t>(fetched);
             ++node.counters.fetches;
         }
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -12,7 +12,7 @@
     return found->second.rate;
 }
 
-auto Granting::fetched(
+auto Granting::record_fetch(
     std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
     -> void {
     if (took <= 0 || source.empty()) return;
--- a/source/ticket/granting.hpp
+++ b/source/ticket/granting.hpp
@@ -129,7 +129,7 @@
     auto enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void;
     auto enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void;
     // A fetch of prefix parts ended after `took`; `tokens`: what it brought.
-    auto fetched(
+    auto record_fetch(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
     auto withdraw(std::uint64_t ticket) -> bool;
--- a/source/ticket/retry_decision.hpp
+++ b/source/ticket/retry_decision.hpp
@@ -104,7 +104,7 @@
 }
 
 // Another try is allowed only if the request is known not to have run, or may run more than once.
-constexpr auto may_follow(TryEnd end, RetryRequest const& request) -> bool {
+constexpr auto may_retry(TryEnd end, RetryRequest const& request) -> bool {
     switch (end) {
         case TryEnd::did_not_run:
         case TryEnd::not_sent:
@@ -128,7 +128,7 @@
     if (end == TryEnd::broken_after) return RetryDecision::cut;
     if (end == TryEnd::seen_before) return RetryDecision::seen;
     auto const limited = limits.tries_left <= 0 || !limits.budget_left || limits.time_left <= 0;
-    if (may_follow(end, request) && !limited) return RetryDecision::send_again;
+    if (may_retry(end, request) && !limited) return RetryDecision::send_again;
     request.may_have_run = request.may_have_run || ran_or_may_have(end);
     request.output_begun = request.output_begun || end == TryEnd::broken_resumable;
     request.failure_held = request.failure_held || end == TryEnd::answered_failure;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -199,14 +199,15 @@
         table.release(placement.replica, number);
         return placement.fetch.source;
     };
-    granting.fetched(
+    granting.record_fetch(
         "127.0.0.1:9001", "another", 50, 5 * one_second, 30);  // another link's speed does not count for this one
     CHECK(planned_at(2, 30) == "127.0.0.1:9001");
-    for (auto count = 0; count < 5; ++count) granting.fetched("127.0.0.1:9001", "r0", 50, 5 * one_second, 30);
+    for (auto count = 0; count < 5; ++count) granting.record_fetch("127.0.0.1:9001", "r0", 50, 5 * one_second, 30);
     CHECK(planned_at(3, 30).empty());  // a slow link: recompute
     granting.store_address = "127.0.0.1:9500";
     CHECK(planned_at(4, 30) == "127.0.0.1:9500");
-    for (auto count = 0; count < 5; ++count) granting.fetched("127.0.0.1:9500", "r0", 0, 1'000, 30);  // an empty store
+    for (auto count = 0; count < 5; ++count)
+        granting.record_fetch("127.0.0.1:9500", "r0", 0, 1'000, 30);  // an empty store
     CHECK(planned_at(5, 30).empty());
     CHECK(planned_at(6, 31 * one_second) == "127.0.0.1:9001");  // tried again after a while
 }
