--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -52,7 +52,7 @@
     auto const entry = node.table.leave(number);
     node.latency_metrics.waiting(lifecycle.inference).add(clock_now() - began);
     if (entry.shed)
-        co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+        co_return lifecycle.was_shed(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
@@ -117,7 +117,7 @@
         log_inference(
             lifecycle.inference, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
             lifecycle.placement.replica);
-        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.inference.number);
+        if (!step.release_replica.empty()) node.release(step.release_replica, lifecycle.inference.number);
         if (step.release_claim) node.make_claim(lifecycle.inference, true, {});
         switch (step.step) {
             case Step::enqueue: step = co_await enter_buffer(lifecycle); break;
@@ -125,7 +125,7 @@
             case Step::interpret: {
                 auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
                 auto [later, current] = co_await interpret_now(request);
-                step = lifecycle.judged(std::move(later), current->rules->sequence, facts);
+                step = lifecycle.reinterpreted(std::move(later), current->rules->sequence, facts);
                 break;
             }
             case Step::send: step = co_await send_try(request, lifecycle, usable); break;
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -61,7 +61,8 @@
 auto RelaySession::judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement {
     auto const proven = node.proven_at.load();
     auto const current = node.snapshot.load();
-    return {judge_relayed(current->rules->services, arrival_of(request, arrived_at)), current->rules->sequence, proven};
+    return {
+        interpret_relayed(current->rules->services, arrival_of(request, arrived_at)), current->rules->sequence, proven};
 }
 
 auto RelaySession::handle(HttpRequest const& request) -> awaitable<bool> {
@@ -112,7 +113,7 @@
     }
     auto const entry = node.table.leave(number);
     if (entry.shed)
-        co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
+        co_return lifecycle.was_shed(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
@@ -147,7 +148,7 @@
     for (auto step = lifecycle.begin();;) {
         answer.trace.outcome = step_names[static_cast<std::size_t>(step.step)];
         if (!step.reason.empty()) answer.trace.outcome += ": " + step.reason;
-        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.inference.number);
+        if (!step.release_replica.empty()) node.release(step.release_replica, lifecycle.inference.number);
         switch (step.step) {
             case Step::enqueue: {
                 auto const entered_at = clock_now();
@@ -160,7 +161,7 @@
                 auto later = judge(request, lifecycle.inference.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
-                step = lifecycle.judged(verdict, later.rules, facts);
+                step = lifecycle.reinterpreted(verdict, later.rules, facts);
                 break;
             }
             case Step::send: {
--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -21,8 +21,8 @@
     auto line = fields(
         "route", route.name, "service", inference.body.model, "target_microseconds", route.target,
         "pause_limit_microseconds", route.pause_limit, "prompt_tokens",
-        inference.prompt_tokens + inference.prefix_tokens, "shared_tokens", shared_run(inference), "output_tokens",
-        inference.body.max_tokens);
+        inference.prompt_tokens + inference.prefix_tokens, "shared_tokens", shared_prefix_tokens(inference),
+        "output_tokens", inference.body.max_tokens);
     line["waited_microseconds"] = trace.waited;
     line["sent_microseconds"] = since_arrival(trace.sent_at);
     line["first_output_microseconds"] = since_arrival(trace.first_at);
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -24,7 +24,7 @@
     auto const& bounds = settings.bounds;
     auto& scheduler = table.scheduler;
     scheduler.budget.each_request = bounds.retry_ratio;
-    scheduler.budget.stored = scheduler.budget.most = most_extra_tries(bounds);
+    scheduler.budget.available = scheduler.budget.capacity = most_extra_tries(bounds);
     if (form != nullptr) {  // the product's own interface keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
         scheduler.proof_limit = control.times.proof_limit = limits.entry;
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -29,12 +29,13 @@
         while (item.starts_with(' ')) item.remove_prefix(1);
         auto const name = take_until(item, ':');
         auto const tokens = number_of(item, 0);
-        if (name.empty() || tokens < 0 || tokens > most_tokens) break;  // what follows can't be found by it
+        if (name.empty() || tokens < 0 || tokens > most_tokens)
+            break;  // a prefix can't be looked up past an invalid part
         inference.body.prefix.push_back({std::string(name), tokens});
         inference.chain.push_back(part_hash(inference.isolation_domain, name));
         inference.prefix_tokens += tokens;
     }
-    // Requests that share all but the last part belong together (design 9.7).
+    // Requests that share all parts but the last have the same affinity (design 9.7).
     inference.affinity = hash_text(inference.body.model, inference.chain.empty() ? 1 : inference.chain.front());
     for (auto index = std::size_t{1}; index + 1 < inference.chain.size(); ++index)
         inference.affinity = hash_text(inference.body.prefix[index].name, inference.affinity);
@@ -64,16 +65,16 @@
 }
 
 namespace {
-// The limit of the route, or the client's own where that is shorter.
-auto deadline_of(RelayArrival const& arrival, Route const& route) -> Microseconds {
+// By the route's timeout, or by the client's own if that is shorter.
+auto deadline_of(RelayedRequest const& arrival, Route const& route) -> Microseconds {
     auto const given = number_of(arrival.deadline, 0);
     auto limit = std::min(route.timeout, longest_timeout);
     if (given > 0) limit = std::min(limit, std::min<std::int64_t>(given, 3'600'000) * one_millisecond);
     return arrival.now + limit;
 }
 
-// What granting has to know of a request that its route and its tenant let in.
-auto fill_inference(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& inference) -> void {
+// Fills in what the scheduler needs for a request that its route and its tenant admit.
+auto fill_inference(RelayedRequest const& arrival, RelayVerdict const& judged, InferenceRequest& inference) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
     inference.body.model = choose_service(route, hash_text(arrival.identity));
@@ -88,13 +89,13 @@
     auto tokens = arrival.tokens;
     auto const prompt = number_of(take_until(tokens, ','), 0);
     inference.body.max_tokens = std::clamp<std::int64_t>(number_of(tokens, 1), 1, most_tokens);
-    inference.parts_alone = true;
+    inference.independent_parts = true;
     read_prefix(arrival.prefix, inference);
     inference.prompt_tokens = std::max<std::int64_t>(0, std::min(prompt, most_tokens) - inference.prefix_tokens);
 }
 }  // namespace
 
-auto judge_relayed(std::shared_ptr<ServiceRules const> rules, RelayArrival const& arrival) -> RelayVerdict {
+auto interpret_relayed(std::shared_ptr<ServiceRules const> rules, RelayedRequest const& arrival) -> RelayVerdict {
     RelayVerdict result;
     auto& verdict = result.verdict;
     auto& inference = verdict.inference;
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -1,4 +1,4 @@
-// Which replica gets a request: the filters, then the least busy. docs/design.md sections 9.3 and 9.7.
+// Choice of a replica for a request: the filters, then the least busy one. docs/design.md sections 9.3 and 9.7.
 #include "scheduling/placement_cost.hpp"
 #include "ticket/scheduler.hpp"
 
@@ -8,9 +8,9 @@
 
 constexpr auto replica_filters = filter_names.size();
 
-// Requests that share a prefix have the same order of replicas; those without one are spread.
+// Seed of the hash order of replicas: the same for requests that share a prefix, different for those without one.
 auto spreading_seed(InferenceRequest const& inference, std::string const& node) -> std::uint64_t {
-    if (!inference.chain.empty() || !inference.parts_alone)
+    if (!inference.chain.empty() || !inference.independent_parts)
         return inference.affinity != 0 ? inference.affinity : inference.number;
     return hash_text(node, inference.number);
 }
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-auto shared_run(InferenceRequest const& inference) -> std::int64_t {
+auto shared_prefix_tokens(InferenceRequest const& inference) -> std::int64_t {
     auto tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index + 1 < inference.body.prefix.size(); ++index)
         tokens += inference.body.prefix[index].tokens;
     return tokens;
 }
 
-// Replicas that pass all filters. Where only failing ones would, they are better than none.
+// Replicas that pass all filters; if there are none, those that only fail the health check.
 auto Scheduler::candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
@@ -55,7 +55,8 @@
     return least_requests(found, waiting.inference, now);
 }
 
-// Running over capacity, in steps where options say so; ties go to the longest kept prefix, then to a hash.
+// Least running requests relative to capacity, compared in `load_steps` if set; ties are broken by the longest
+// cached prefix, then by a hash.
 auto Scheduler::least_requests(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
     -> ReplicaState const* {
@@ -89,7 +90,7 @@
     return best;
 }
 
-// The longest run that replicas of the same weights keep, and the longest that a store has for them.
+// The longest prefix cached by replicas of these weights, and the longest that a store has for them.
 auto Scheduler::cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes {
     auto runs = CachedPrefixes{weights_hash};
     for (auto const* state : load_table.pool(inference.body.model)) {
@@ -109,7 +110,7 @@
     return runs;
 }
 
-// The least work to wait for before the first token; ties go by the hash of the shared prefix.
+// Least work before the first token; ties are broken by the hash of the shared prefix.
 auto Scheduler::least_work(
     std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
     -> ReplicaState const* {
@@ -119,7 +120,7 @@
     };
     auto const* home = *std::min_element(found.begin(), found.end(), by_hash);
     auto const rates =
-        PlacementRates{reading_rate(inference.body.model) / options.fetch_tokens_each_second, options.copy_cost};
+        PlacementRates{prefill_rate(inference.body.model) / options.fetch_tokens_each_second, options.copy_cost};
     std::vector<CachedPrefixes> known;
     auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
         for (auto const& runs : known)
@@ -128,7 +129,7 @@
     };
     auto view = PlacementView();
     view.prompt = inference.prompt_tokens + inference.prefix_tokens;
-    view.shared = shared_run(inference);
+    view.shared = shared_prefix_tokens(inference);
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
@@ -147,18 +148,18 @@
     return best;
 }
 
-// Tokens a second: what was observed of the service, else the default.
-auto Scheduler::reading_rate(std::string const& model) const -> double {
-    auto const found = options.observe_rates ? reading_rates.find(model) : reading_rates.end();
-    auto const observed = found == reading_rates.end() ? std::nullopt : found->second.observed();
+// Prefill rate in tokens a second: the service's estimate if there is one, else the default.
+auto Scheduler::prefill_rate(std::string const& model) const -> double {
+    auto const found = options.observe_rates ? prefill_rates.find(model) : prefill_rates.end();
+    auto const observed = found == prefill_rates.end() ? std::nullopt : found->second.observed();
     return observed.value_or(options.recompute_tokens_each_second);
 }
 
 auto Scheduler::first_output(Placement const& placement, InferenceRequest const& inference, Microseconds took) -> void {
     load_table.first_output(placement.replica, inference.number);
-    // What waited behind other prompts says nothing of the speed of reading.
+    // A request that waited behind other prompts is no sample of the prefill rate.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
-        reading_rates[inference.body.model].add(placement.tokens_to_read, took);
+        prefill_rates[inference.body.model].add(placement.tokens_to_read, took);
 }
 
 }  // namespace dockrock
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -1,10 +1,10 @@
-// What is known of a replica's prompt work and outcomes, and the filters that a request's replica passes.
+// A replica's prefill work and outcomes as known here, and the filters that decide whether it can take a request.
 // docs/design.md sections 9.3, 9.4 and 9.11.
 #include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
-// Prompt tokens placed there by anyone whose reading is not known to be over.
+// Prompt tokens placed there by any node whose prefill is not known to be finished.
 auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
     if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_unread;
@@ -32,9 +32,9 @@
     return sum;
 }
 
-auto ReplicaLoadTable::judge_health(Microseconds now) -> void {
+auto ReplicaLoadTable::update_health(Microseconds now) -> void {
     if (!options.eject_failing) return;
-    for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
+    for (auto& [name, state] : replicas) state.health.update(outcomes(state, now), now);
 }
 
 auto ReplicaLoadTable::check(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const
--- a/source/sequence/patch.cpp
+++ b/source/sequence/patch.cpp
@@ -14,15 +14,15 @@
     return {status, {"/" + std::to_string(place), std::move(what)}, ""};
 }
 
-// What a copy adds, so that copies of copies end at the limit and not before
-// the memory does.
+// Bytes that a "copy" operation adds. Counted so that repeated copies of copies are refused at the size limit
+// before they exhaust the memory.
 auto copied_size(Tree const& tree, Tree const& operation) -> std::size_t {
     if (operation.value("op", "") != "copy" || !operation.contains("from")) return 0;
     auto const from = Tree::json_pointer(operation.at("from").get<std::string>());
     return tree.contains(from) ? tree.at(from).dump().size() : 0;
 }
 
-// The library throws; its words become values here and nowhere else.
+// The library reports errors as exceptions; they are turned into results here and nowhere else.
 auto apply_one(Tree& tree, Tree const& operation, std::size_t place, std::size_t& size) -> Patched {
     constexpr auto test_failed = 501;
     try {
@@ -41,7 +41,7 @@
 auto apply_patch(std::string const& document, std::string const& patch) -> Patched {
     auto const shape = parse_json(patch);
     if (!shape || !shape->is_array()) return {400, {"", "not a JSON Patch: a list of operations"}, ""};
-    if (shape->as_array().size() > most_patch_operations) return {413, {"", "more than 256 operations"}, ""};
+    if (shape->as_array().size() > max_patch_operations) return {413, {"", "more than 256 operations"}, ""};
     auto tree = Tree::parse(document.empty() ? "null" : document, nullptr, false);
     auto const operations = Tree::parse(patch, nullptr, false);
     if (tree.is_discarded() || operations.is_discarded()) return {400, {"", "not JSON"}, ""};
--- a/source/sequence/sharing_scope.cpp
+++ b/source/sequence/sharing_scope.cpp
@@ -15,7 +15,7 @@
     if (isolated_domains.empty()) return scope;
     auto listed = std::string();
     for (auto const& name : isolated_domains)
-        listed += std::to_string(name.size()) + ":" + name;  // no two lists are alike
+        listed += std::to_string(name.size()) + ":" + name;  // lengths make it unambiguous
     return scope + "~" + sha256_of(listed).substr(0, mark_digits);
 }
 
--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -1,12 +1,12 @@
-// How much room a replica has: sums over own placements and over what other
-// nodes told, kept as they change. docs/design.md section 9.4.
+// Free capacity of a replica, from incrementally updated sums over this node's placements and the loads that
+// other nodes reported. docs/design.md section 9.4.
 #include <algorithm>
 
 #include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
-auto ReplicaState::take_away(std::uint64_t request_number) -> void {
+auto ReplicaState::remove_placement(std::uint64_t request_number) -> void {
     auto const found = placed.find(request_number);
     if (found == placed.end()) return;
     placed_slots -= found->second.slots;
@@ -34,14 +34,15 @@
 
 namespace {
 
-// Each node tells of a replica once; its order for the last places stays.
-auto tell(ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, ReplicaLoad const& item)
+// Adds or replaces one node's load on the replica; its tie-break hash stays the same.
+auto add_remote_load(
+    ReplicaState& state, std::string const& node, ReplicaLoadTable::Digest const& digest, ReplicaLoad const& item)
     -> void {
     auto found = std::find_if(
         state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == digest.node; });
     if (found == state.remote.end()) {
         if (state.remote.empty()) state.remote_oldest = digest.at;
-        state.remote.push_back({digest.node, hash_text(node, state.seed)});
+        state.remote.push_back({digest.node, hash_text(node, state.name_hash)});
         found = state.remote.end() - 1;
     }
     state.count_remote(*found, -1);
@@ -57,7 +58,7 @@
     state.remote_oldest = std::min(state.remote_oldest, digest.at);
 }
 
-auto untell(ReplicaState& state, std::uint64_t node) -> void {
+auto remove_remote_load(ReplicaState& state, std::uint64_t node) -> void {
     auto const found =
         std::find_if(state.remote.begin(), state.remote.end(), [&](auto const& item) { return item.node == node; });
     if (found == state.remote.end()) return;
@@ -68,12 +69,12 @@
 
 }  // namespace
 
-// A replica that was not listed before: others may have told of it already.
-auto ReplicaLoadTable::tell_of(std::string const& name, ReplicaState& state) const -> void {
-    state.seed = hash_text(name);
-    for (auto const& [node, digest] : others)
+// For a replica that is newly listed: other nodes may have reported load on it before.
+auto ReplicaLoadTable::add_reported_loads(std::string const& name, ReplicaState& state) const -> void {
+    state.name_hash = hash_text(name);
+    for (auto const& [node, digest] : remote_digests)
         if (auto const found = digest.replicas.find(name); found != digest.replicas.end())
-            tell(state, node, digest, found->second);
+            add_remote_load(state, node, digest, found->second);
 }
 
 auto ReplicaLoadTable::take_remote_loads(
@@ -83,28 +84,30 @@
     digest.at = at;
     for (auto const& [name, item] : digest.replicas)
         if (!told.contains(name))
-            if (auto const found = replicas.find(name); found != replicas.end()) untell(found->second, digest.node);
+            if (auto const found = replicas.find(name); found != replicas.end())
+                remove_remote_load(found->second, digest.node);
     digest.replicas = std::move(told);
     for (auto const& [name, item] : digest.replicas)
-        if (auto const found = replicas.find(name); found != replicas.end()) tell(found->second, node, digest, item);
+        if (auto const found = replicas.find(name); found != replicas.end())
+            add_remote_load(found->second, node, digest, item);
     auto const active = !digest.replicas.empty();
-    if (active) others_oldest = others_active == 0 ? at : std::min(others_oldest, at);
+    if (active) oldest_digest_at = active_digests == 0 ? at : std::min(oldest_digest_at, at);
     if (active == was_active) return;
-    others_active += active ? 1 : -1;
+    active_digests += active ? 1 : -1;
     ++active_changes;
 }
 
-// A digest that is lost counts for nothing: what it said is dropped, its number
-// is kept, so that an older one is still known as such. Now and then only.
-auto ReplicaLoadTable::forget_lost(Microseconds now) -> void {
-    if (now - others_oldest <= options.digest_lost / 2 || now - swept_at < one_second) return;
+// Drops the loads of nodes whose digests have stopped. The digest's number stays, so that an older digest that
+// arrives late is still ignored. Runs at most once a second, and only if a digest is old enough.
+auto ReplicaLoadTable::drop_lost_digests(Microseconds now) -> void {
+    if (now - oldest_digest_at <= options.digest_lost / 2 || now - swept_at < one_second) return;
     swept_at = now;
-    for (auto& [node, digest] : others)
+    for (auto& [node, digest] : remote_digests)
         if (now - digest.at > options.digest_lost && !digest.replicas.empty())
             take_remote_loads(node, digest, {}, digest.at);
-    others_oldest = now;
-    for (auto const& [node, digest] : others)
-        if (!digest.replicas.empty()) others_oldest = std::min(others_oldest, digest.at);
+    oldest_digest_at = now;
+    for (auto const& [node, digest] : remote_digests)
+        if (!digest.replicas.empty()) oldest_digest_at = std::min(oldest_digest_at, digest.at);
     for (auto& [name, state] : replicas) state.sum_remote();
 }
 
@@ -121,10 +124,10 @@
 
 auto ReplicaLoadTable::active_nodes(Microseconds now) const -> std::int64_t {
     auto count = std::int64_t{1};
-    // A relay's silence is not its nodes' end: without a sum they are taken to be there.
+    // A silent relay does not mean that its nodes are gone: without a sum they are assumed to be active.
     if (relayed) count += summed_lost(now) ? std::max(summed.nodes, fleet_nodes - 1) : summed.nodes;
-    if (others_active == 0 || now - others_oldest < options.digest_lost) return count + others_active;
-    for (auto const& [node, digest] : others)
+    if (active_digests == 0 || now - oldest_digest_at < options.digest_lost) return count + active_digests;
+    for (auto const& [node, digest] : remote_digests)
         if (now - digest.at < options.digest_lost && !digest.replicas.empty()) ++count;
     return count;
 }
@@ -137,8 +140,8 @@
     return sum;
 }
 
-// What others may have placed since they last told: their recent rate over the
-// digest's age, and the rest of their slice once it is old (design 9.4).
+// Slots that other nodes may have taken since their last digests: their recent rate times the digest's age, or
+// all that remains of their share of the replica once the digest is old (design 9.4).
 auto ReplicaLoadTable::reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = std::int64_t{0};
     auto slice = std::int64_t{-1};
@@ -176,40 +179,39 @@
     return std::min(free, reported);
 }
 
-// How many other nodes come before this one for a replica's last places: those
-// with the fewest there first, since a fixed order starves a node.
+// The number of other nodes that precede this one for a replica's last places. Nodes with the fewest slots there
+// come first, since a fixed order would starve a node.
 auto ReplicaLoadTable::rank_for(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t {
-    auto const mine = hash_text(self, state.seed);
+    auto const mine = hash_text(self, state.name_hash);
     auto rank = std::int64_t{0};
-    if (others_active > 0 && now - others_oldest >= options.digest_lost) {  // some of them are lost
-        for (auto const& [node, digest] : others) {
+    if (active_digests > 0 && now - oldest_digest_at >= options.digest_lost) {  // some digests are lost
+        for (auto const& [node, digest] : remote_digests) {
             if (now - digest.at >= options.digest_lost || digest.replicas.empty()) continue;
             auto const found = digest.replicas.find(state.entry.name);
             auto const theirs = found == digest.replicas.end() ? 0 : found->second.slots;
-            if (std::pair(theirs, hash_text(node, state.seed)) < std::pair(own, mine)) ++rank;
+            if (std::pair(theirs, hash_text(node, state.name_hash)) < std::pair(own, mine)) ++rank;
         }
         return rank;
     }
-    if (own == 0 && (state.orders_known != active_changes || state.orders_mine != mine)) {
-        state.orders_below = 0;
-        for (auto const& [node, digest] : others)
-            if (!digest.replicas.empty() && hash_text(node, state.seed) < mine) ++state.orders_below;
-        state.orders_known = active_changes;
-        state.orders_mine = mine;
+    if (own == 0 && (state.preceding_counted_at != active_changes || state.preceding_own_hash != mine)) {
+        state.preceding_nodes = 0;
+        for (auto const& [node, digest] : remote_digests)
+            if (!digest.replicas.empty() && hash_text(node, state.name_hash) < mine) ++state.preceding_nodes;
+        state.preceding_counted_at = active_changes;
+        state.preceding_own_hash = mine;
     }
-    // As if nobody had anything there; then those who have.
-    rank = own == 0 ? state.orders_below : own > 0 ? others_active : 0;
+    // First as if no node had load there, then corrected for the nodes that do.
+    rank = own == 0 ? state.preceding_nodes : own > 0 ? active_digests : 0;
     for (auto const& item : state.remote) {
-        auto const counted = std::pair(std::int64_t{0}, item.order) < std::pair(own, mine);
-        auto const before = std::pair(item.slots, item.order) < std::pair(own, mine);
+        auto const counted = std::pair(std::int64_t{0}, item.tie_break) < std::pair(own, mine);
+        auto const before = std::pair(item.slots, item.tie_break) < std::pair(own, mine);
         rank += static_cast<std::int64_t>(before) - static_cast<std::int64_t>(counted);
     }
     return rank;
 }
 
-// Running no greater than four times the capacity, as the design asks; and
-// where little is left, the last places go to nodes by their rank for this
-// replica, one each between digests, so that not all take the same place.
+// There is room while no more than `multiplier` (four in the design) times the capacity is running. The last
+// places go to nodes by rank_for, one each between two digests, so that not all take the same place.
 auto ReplicaLoadTable::has_room(ReplicaState const& state, Microseconds now) const -> bool {
     auto const limit = options.multiplier * state.entry.capacity;
     auto const known = running(state, now);
@@ -220,8 +222,8 @@
     if (own >= std::max<std::int64_t>(1, limit / nodes) && known + reserve(state, now) > limit) return false;
     if (left > nodes || nodes == 1) return true;
     if (options.idle_open && 2 * left > limit) return true;
-    // Through relays a word takes longer than the time between two words.
-    auto const unreported_placements = relayed ? unseen(state) : state.unreported_placements;
+    // Through relays a report takes longer to arrive than the interval between two reports.
+    auto const unreported_placements = relayed ? placements_after_sum(state) : state.unreported_placements;
     if (unreported_placements >= std::max<std::int64_t>(1, left / nodes)) return false;
     return rank_for(state, own, now) + (relayed ? summed_rank(state, own, now) : 0) < left;
 }
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -11,15 +11,15 @@
         named.insert(entry.name);
         auto& state = replicas[entry.name];
         if (!state.entry.address.empty() && state.entry.address != entry.address) {
-            state.report.reset();  // another process under this name: asked before use
+            state.report.reset();  // another process of this name: needs a report first
             state.cached.clear();
             state.cache_unknown = true;
         }
-        if (state.seed == 0) tell_of(entry.name, state);
+        if (state.name_hash == 0) add_reported_loads(entry.name, state);
         state.entry = entry;
     }
     for (auto place = replicas.begin(); place != replicas.end();) {
-        if (!named.contains(place->first)) place->second.entry.drain = true;  // gone from the list: nothing new
+        if (!named.contains(place->first)) place->second.entry.drain = true;  // delisted: no new requests
         if (!named.contains(place->first) && place->second.placed.empty()) place = replicas.erase(place);
         else ++place;
     }
@@ -39,7 +39,7 @@
         state.cache_unknown = false;
         state.next_event = restarted ? 0 : state.next_event;
     }
-    if (report.first_event > state.next_event) {  // a gap: what we hold may be gone, so it does not count
+    if (report.first_event > state.next_event) {  // missed events: entries may have been evicted
         state.cached.clear();
     }
     for (auto const& event : report.events) {
@@ -72,7 +72,7 @@
 
 auto ReplicaLoadTable::take_digest(
     std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void {
-    auto& digest = others[node];
+    auto& digest = remote_digests[node];
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
     if (!parsed) return;
@@ -82,11 +82,11 @@
     if (!problems.empty()) return;
     digest.number = number;
     take_remote_loads(node, digest, std::move(told), now);
-    forget_lost(now);
-    judge_health(now);
+    drop_lost_digests(now);
+    update_health(now);
 }
 
-// What this node tells of its own placements, replica by replica.
+// This node's own load on each replica, as reported to other nodes.
 auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>> {
     std::vector<std::pair<std::string, ReplicaLoad>> told;
     for (auto& [name, state] : replicas) {
@@ -103,7 +103,7 @@
                 static_cast<std::int64_t>(state.recent.size()), state.placed_unread,
                 static_cast<std::int64_t>(state.outcomes.size()), failed});
     }
-    forget_lost(now);
+    drop_lost_digests(now);
     ++digest_number;
     return told;
 }
@@ -118,7 +118,7 @@
     std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
     std::int64_t unread) -> void {
     auto& state = replicas.at(name);
-    state.take_away(inference.number);
+    state.remove_placement(inference.number);
     state.placed[inference.number] = {inference.body.slots, memory, now, unread};
     state.placed_slots += inference.body.slots;
     state.placed_memory += memory;
@@ -130,7 +130,7 @@
 }
 
 auto ReplicaLoadTable::release(std::string const& name, std::uint64_t request_number) -> void {
-    if (auto const found = replicas.find(name); found != replicas.end()) found->second.take_away(request_number);
+    if (auto const found = replicas.find(name); found != replicas.end()) found->second.remove_placement(request_number);
 }
 
 auto ReplicaLoadTable::first_output(std::string const& name, std::uint64_t request_number) -> void {
@@ -161,7 +161,7 @@
 
 auto ReplicaLoadTable::cached_tokens(ReplicaState const& state, InferenceRequest const& inference) const
     -> std::int64_t {
-    if (inference.parts_alone) {
+    if (inference.independent_parts) {
         auto tokens = std::int64_t{0};
         for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
             if (!state.parts.contains(inference.chain[index] ^ state.weights_hash)) break;
@@ -179,7 +179,7 @@
     return best;
 }
 
-// What is known of a replica's weights where it reports nothing else.
+// Weights of a replica that sends no reports of its own; stands in for a report.
 auto ReplicaLoadTable::take_weights(std::string const& name, std::string const& weights, bool loading) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
@@ -196,14 +196,14 @@
     state.cache_unknown = false;
 }
 
-// A replica's own word that it did not run something, and why.
+// The replica refused a request without running it.
 auto ReplicaLoadTable::refused(std::string const& name, std::string_view reason, Microseconds now) -> void {
     auto const found = replicas.find(name);
     if (found == replicas.end()) return;
     auto& state = found->second;
     if (reason == "busy" || reason == "memory") state.paused_until = now + options.refused_pause;
     if ((reason == "weights" || reason == "restarted") && state.report) {
-        state.report->changing = true;  // until it says what it serves
+        state.report->changing = true;  // until it reports what it serves
         state.cache_unknown = true;
     }
 }
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -26,7 +26,7 @@
     return Step::finished;
 }
 
-// By the end alone, not by what is decided of it.
+// Derived from the try's end alone, independently of the retry decision.
 auto surely_not_run(TryEnd end) -> bool {
     return end == TryEnd::did_not_run || end == TryEnd::seen_before || end == TryEnd::not_sent ||
         end == TryEnd::not_written;
@@ -40,8 +40,8 @@
     return facts;
 }
 
-// Once a try may have run, giving up is no longer a refusal (design 10.1).
-auto RequestLifecycle::give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
+// Ends the request without another try. Not a refusal if a try may have run (design 10.1).
+auto RequestLifecycle::end_without_retry(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
     LifecycleStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
     step.release_claim = claim_held && !history.may_have_run;
@@ -51,13 +51,13 @@
     return step;
 }
 
-auto RequestLifecycle::given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
-    return give_up(std::string(reason), retry_after);
+auto RequestLifecycle::was_shed(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
+    return end_without_retry(std::string(reason), retry_after);
 }
 
 auto RequestLifecycle::placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep {
     placement = std::move(given);
-    // A claim got long ago may have been forgotten since: a frozen node asks anew.
+    // An old claim may have expired at the leader: a node that was suspended claims again.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
     if (needs_claim() && !claim_held) return {Step::claim};
     return last_checks(facts);
@@ -74,43 +74,44 @@
     auto step = LifecycleStep();
     if (state == ClaimState::seen) {
         step.step = Step::answer_seen;
-    } else {  // its fate is not known, and so the ticket is never sent
-        step = give_up(state == ClaimState::full ? "claims-full" : "no-claim", state == ClaimState::full ? 30 : 2);
+    } else {  // it is unknown who holds the claim, so the request is never sent
+        step = end_without_retry(
+            state == ClaimState::full ? "claims-full" : "no-claim", state == ClaimState::full ? 30 : 2);
     }
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     return step;
 }
 
-// Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
+// Checks the rules, the deadline, the replica and the proof's age right before sending (design 8.3, 8.4).
 auto RequestLifecycle::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
-    if (inference.deadline != 0 && facts.now >= inference.deadline) {  // a replica is given no time that is not there
-        auto step = give_up("deadline", 1);
-        step.give_back = placement.replica;
+    if (inference.deadline != 0 && facts.now >= inference.deadline) {  // no time is left for the replica
+        auto step = end_without_retry("deadline", 1);
+        step.release_replica = placement.replica;
         return step;
     }
     if (facts.listed && facts.proof_age <= facts.proof_limit) return {Step::send};
-    return enter_back();
+    return requeue();
 }
 
-// Nothing was sent: no extra try, and no new ticket either.
-auto RequestLifecycle::enter_back() -> LifecycleStep {
+// Queues it again. Nothing was sent: neither a retry nor a new request for the retry budget.
+auto RequestLifecycle::requeue() -> LifecycleStep {
     avoid.reset();
-    inference.counted = true;
+    inference.in_retry_budget = true;
     LifecycleStep step;
     step.step = Step::enqueue;
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     return step;
 }
 
-auto RequestLifecycle::judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
+auto RequestLifecycle::reinterpreted(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
     rules = under;
     LifecycleStep step;
-    step.give_back = placement.replica;
+    step.release_replica = placement.replica;
     if (verdict.kind != Verdict::Kind::enqueue) {
         if (facts.proof_age > facts.refusal_limit) {  // a newer configuration may allow it
-            step = give_up("not-fresh", 1);
-            step.give_back = placement.replica;
+            step = end_without_retry("not-fresh", 1);
+            step.release_replica = placement.replica;
             return step;
         }
         step.step = step_for(retry::without_another_try(request_facts()));
@@ -120,12 +121,12 @@
         step.reason = verdict.reason;
         return step;
     }
-    take_rules(verdict.inference);
-    if (inference.body.run_once && history.may_have_run) {  // what was repeatable no longer is
+    restrict_retries(verdict.inference);
+    if (inference.body.run_once && history.may_have_run) {  // it was repeatable and no longer is
         step.step = step_for(retry::without_another_try(request_facts()));
         return step;
     }
-    // An answer that has begun is ended by the service that began it.
+    // A response that has begun is finished by the same service.
     auto const elsewhere = !history.output_begun && verdict.inference.body.model != inference.body.model;
     auto const moved = elsewhere || verdict.inference.chain != inference.chain ||
         verdict.inference.isolation_domain != inference.isolation_domain;
@@ -136,11 +137,11 @@
     verdict.inference.body.run_once = inference.body.run_once;
     verdict.inference.tries = inference.tries;
     inference = std::move(verdict.inference);
-    return enter_back();
+    return requeue();
 }
 
-// Rules that moved while a request waits may only make it stricter.
-auto RequestLifecycle::take_rules(InferenceRequest const& judged_inference) -> void {
+// Rules that change while a request is queued can only restrict its retries further.
+auto RequestLifecycle::restrict_retries(InferenceRequest const& judged_inference) -> void {
     inference.body.run_once = inference.body.run_once || judged_inference.body.run_once;
     inference.tries = std::min(inference.tries, judged_inference.tries);
 }
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -30,12 +30,12 @@
 }
 
 auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds {
-    // Half the usual time: only the hopeless are given up (design 9.5).
+    // Half of the average service time, so that only requests without a real chance are shed (design 9.5).
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(inference.body.max_tokens) * 0.5);
 }
 
 auto Scheduler::enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void {
-    if (!inference.counted) budget.deposit();
+    if (!inference.in_retry_budget) budget.deposit();
     auto& buffer = queues[inference.body.model];
     auto const expected = expected_service(buffer, inference);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
@@ -61,8 +61,8 @@
     buffer.waiting.push_back({inference, now, {}, 0});
 }
 
-// Only for a ticket that is known not to have run. Its extra try waits for the
-// budget a little; what the budget can't pay in time is given up (design 10.4).
+// Only for a request that may be sent once more (see retry_decision.hpp). It waits up to `owing_limit` for the
+// retry budget, and is shed if the budget can't cover it by then (design 10.4).
 auto Scheduler::enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void {
     queues[inference.body.model].waiting.push_back({inference, inference.arrived_at, {avoid}, now});
 }
@@ -97,8 +97,8 @@
     return std::clamp(fair / used, 1.0 / options.share_bound, options.share_bound);
 }
 
-// (declared + wait) / declared, the paper's ratio with max tokens as the
-// declared size; share and rank bend it within bounds (design 9.2).
+// The paper's ratio (declared + wait) / declared, with max_tokens as the declared size, weighted within bounds by
+// the tenant's fair share and rank (design 9.2).
 auto Scheduler::score(QueuedRequest const& waiting, Microseconds now) const -> double {
     auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.inference.body.max_tokens));
     auto const wait = static_cast<double>(now - waiting.since) / 1'000'000.0 * options.wait_token_rate;
@@ -107,14 +107,14 @@
         rank;
 }
 
-// Takes a place for the request there, with what is known of it now.
+// Reserves a place for the request on the replica and records why it was chosen.
 auto Scheduler::place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
     auto const& inference = waiting.inference;
     auto placement = Placement{
         inference.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
     placement.cached_tokens = load_table.cached_tokens(state, inference);
-    placement.fetch = inference.parts_alone ? plan_parts(state, inference, placement.cached_tokens, now)
-                                            : plan_fetch(state, inference, placement.cached_tokens, now);
+    placement.fetch = inference.independent_parts ? plan_parts(state, inference, placement.cached_tokens, now)
+                                                  : plan_fetch(state, inference, placement.cached_tokens, now);
     placement.tokens_to_read = std::max<std::int64_t>(
         0, inference.prompt_tokens + inference.prefix_tokens - placement.cached_tokens - placement.fetch.tokens);
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
@@ -141,14 +141,14 @@
     else if (buffer.empty_pool_since == 0) buffer.empty_pool_since = now;
     std::vector<std::pair<double, std::size_t>> order;
     for (auto index = std::size_t{0}; index < buffer.waiting.size(); ++index)
-        if (buffer.waiting[index].owes_since == 0 || budget.any())
+        if (buffer.waiting[index].awaiting_budget_since == 0 || budget.any())
             order.emplace_back(-score(buffer.waiting[index], now), index);
     auto const depth = std::min(options.depth, order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(depth), order.end());
     std::set<std::uint64_t> gone;
     for (auto position = std::size_t{0}; position < depth; ++position) {  // the bounded search of the paper
         auto& waiting = buffer.waiting[order[position].second];
-        auto const owes = waiting.owes_since != 0;
+        auto const owes = waiting.awaiting_budget_since != 0;
         if (owes && !budget.any()) continue;
         auto const* found = choose(waiting, now);
         if (found == nullptr) continue;
@@ -172,7 +172,8 @@
             shed(decisions, buffer, item.inference.number, ShedReason::deadline);
             return true;
         }
-        if (item.owes_since != 0 && !budget.any() && now - item.owes_since > options.owing_limit) {
+        if (item.awaiting_budget_since != 0 && !budget.any() &&
+            now - item.awaiting_budget_since > options.owing_limit) {
             shed(decisions, buffer, item.inference.number, ShedReason::budget);
             return true;
         }
@@ -193,7 +194,7 @@
         }
         return;
     }
-    if (proof_age > proof_limit) return;  // tickets wait; started answers go on
+    if (proof_age > proof_limit) return;  // requests stay queued; running ones go on
     for (auto& [model, buffer] : queues)
         if (!buffer.waiting.empty()) schedule_model(model, buffer, now, decisions);
 }
--- a/source/version/services.cpp
+++ b/source/version/services.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr auto most_weight = std::int64_t{1'000'000'000};
+constexpr auto max_weight = std::int64_t{1'000'000'000};
 
 auto lower_case(std::string_view text) -> std::string {
     std::string lower(text);
@@ -21,7 +21,7 @@
     return lower;
 }
 
-// A host without its port; an IPv6 address keeps its brackets.
+// The host without its port; an IPv6 address keeps its brackets.
 auto without_port(std::string_view host) -> std::string_view {
     auto const from = host.starts_with('[') ? host.find(']') : std::size_t{0};
     return from == std::string_view::npos ? host : host.substr(0, host.find(':', from));
@@ -54,8 +54,8 @@
             auto const place = path + "/" + std::to_string(index);
             auto const& entry = route.split[index];
             if (!services.contains(entry.service)) problem(place + "/service", "no service of this name");
-            if (entry.weight < 0 || entry.weight > most_weight)
-                problem(place + "/weight", "must be 0 to " + std::to_string(most_weight));
+            if (entry.weight < 0 || entry.weight > max_weight)
+                problem(place + "/weight", "must be 0 to " + std::to_string(max_weight));
             else sum += entry.weight;
         }
         if (sum == 0) problem(path, "the weights must not sum to 0");
@@ -97,7 +97,7 @@
         }
     }
 
-    // The keys themselves are never told.
+    // Problems never contain the keys themselves.
     auto keys() -> void {
         std::map<std::string_view, std::size_t> holders;
         for (auto index = std::size_t{0}; index < document.tenants.size(); ++index) {
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -149,7 +149,7 @@
         auto other = lifecycle;
         auto const step = other.claimed(state, 1, 0, good_facts());
         CHECK(step.step == (state == ClaimState::seen ? Step::answer_seen : Step::answer_shed));
-        CHECK(step.give_back == "r0");
+        CHECK(step.release_replica == "r0");
     }
     auto frozen = good_facts();
     frozen.now = 2 * claim_use_limit;
@@ -159,16 +159,16 @@
     auto held = lifecycle;
     auto const again = held.claimed(ClaimState::granted, 1, 0, drained);
     CHECK(again.step == Step::enqueue);
-    CHECK(again.give_back == "r0");
-    CHECK(held.inference.counted);
+    CHECK(again.release_replica == "r0");
+    CHECK(held.inference.in_retry_budget);
     CHECK(held.placed(placement(), good_facts()).step == Step::send);  // the claim is held
-    CHECK(held.given_up("deadline", 3).release_claim);
+    CHECK(held.was_shed("deadline", 3).release_claim);
     auto moved = good_facts();
     moved.rules = {1, 5};
     CHECK(held.placed(placement(), moved).step == Step::interpret);
     Verdict refused;
     refused.status = 401;
-    auto const told = RequestLifecycle(held).judged(refused, {1, 5}, moved);
+    auto const told = RequestLifecycle(held).reinterpreted(refused, {1, 5}, moved);
     CHECK(told.step == Step::answer_refused);
     CHECK(told.release_claim);
     auto stale = good_facts();
@@ -182,8 +182,8 @@
     lifecycle.inference.body.run_once = false;
     lifecycle.placed(placement(), good_facts());
     CHECK(lifecycle.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
-    CHECK(lifecycle.given_up("deadline", 1).step == Step::answer_unknown);
-    CHECK_FALSE(lifecycle.given_up("deadline", 1).release_claim);
+    CHECK(lifecycle.was_shed("deadline", 1).step == Step::answer_unknown);
+    CHECK_FALSE(lifecycle.was_shed("deadline", 1).release_claim);
     CHECK_FALSE(lifecycle.gone().release_claim);
     auto once = course_of(true);
     once.claim_held = true;
--- a/tests/burden_sums_test.cpp
+++ b/tests/load_sums_test.cpp
@@ -1,5 +1,5 @@
-// The sums that a placement reads against the plain computation over all
-// digests and placements, whatever came in whatever order. docs/design.md 9.4.
+// Compares the incrementally updated load sums with a direct computation over all digests and placements, after
+// random sequences of events. docs/design.md 9.4.
 #include "helpers.hpp"
 
 using namespace dockrock;
@@ -9,7 +9,7 @@
 
 auto plain_active(ReplicaLoadTable const& table, Microseconds now) -> std::int64_t {
     auto count = std::int64_t{1};
-    for (auto const& [node, digest] : table.others)
+    for (auto const& [node, digest] : table.remote_digests)
         if (now - digest.at < table.options.digest_lost && !digest.replicas.empty()) ++count;
     return count;
 }
@@ -17,7 +17,7 @@
 auto plain_running(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     for (auto const& [inference, placed] : state.placed) sum += placed.slots;
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at > table.options.digest_lost) continue;
         if (auto const found = digest.replicas.find(state.entry.name); found != digest.replicas.end())
             sum += found->second.slots;
@@ -28,7 +28,7 @@
 auto plain_reserve(ReplicaLoadTable const& table, ReplicaState const& state, Microseconds now) -> std::int64_t {
     auto sum = std::int64_t{0};
     auto const limit = table.options.multiplier * state.entry.capacity;
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         auto const age = now - digest.at;
         if (age > table.options.digest_lost) continue;
         auto const found = digest.replicas.find(state.entry.name);
@@ -47,7 +47,7 @@
         free -= placed.memory;
         if (placed.at >= state.reported_at) reported -= placed.memory;
     }
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at > table.options.digest_lost) continue;
         auto const found = digest.replicas.find(state.entry.name);
         if (found == digest.replicas.end()) continue;
@@ -74,7 +74,7 @@
     auto const seed = hash_text(state.entry.name);
     auto const mine = hash_text(table.self, seed);
     auto rank = std::int64_t{0};
-    for (auto const& [node, digest] : table.others) {
+    for (auto const& [node, digest] : table.remote_digests) {
         if (now - digest.at >= table.options.digest_lost || digest.replicas.empty()) continue;
         auto const found = digest.replicas.find(state.entry.name);
         auto const theirs = found == digest.replicas.end() ? 0 : found->second.slots;
@@ -83,8 +83,8 @@
     return rank < left;
 }
 
-// Moves of one table, drawn from a seed.
-struct Moves {
+// Random events of one load table, drawn from a seed.
+struct RandomEvents {
     Random random;
     ReplicaLoadTable table;
     Microseconds now = 10 * one_second;
@@ -155,19 +155,19 @@
 
 }  // namespace
 
-TEST_CASE("sums of load are what the plain computation over all digests gives, after any moves") {
+TEST_CASE("sums of load equal the direct computation over all digests, after any events") {
     auto rooms = std::array<int, 2>{};
     for (auto seed = std::uint64_t{1}; seed <= 40; ++seed) {
-        Moves moves;
-        moves.random.state = seed * 101;
-        moves.table.self = "node-self";
-        moves.list();
+        RandomEvents events;
+        events.random.state = seed * 101;
+        events.table.self = "node-self";
+        events.list();
         auto wrong = 0;
         for (auto count = 0; count < 400; ++count) {
-            moves.step();
-            auto const& table = moves.table;
+            events.step();
+            auto const& table = events.table;
             for (auto later : {Microseconds{0}, 700 * one_millisecond, 3 * one_second, 11 * one_second}) {
-                auto const now = moves.now + later;
+                auto const now = events.now + later;
                 wrong += table.active_nodes(now) != plain_active(table, now);
                 for (auto const& [name, state] : table.replicas) {
                     wrong += table.running(state, now) != plain_running(table, state, now);
@@ -188,12 +188,12 @@
         INFO("seed " << seed);
         CHECK(wrong == 0);
     }
-    CHECK(rooms[0] > 1'000);  // both answers came up
+    CHECK(rooms[0] > 1'000);  // both results occurred
     CHECK(rooms[1] > 1'000);
 }
 
-TEST_CASE("a lost digest counts for nothing, and one older than it is still not taken") {
-    auto scheduler = make_granting(1);
+TEST_CASE("a lost digest counts no more, and one older than it is still ignored") {
+    auto scheduler = make_scheduler(1);
     auto& table = scheduler.load_table;
     auto const told = std::string(R"({"r0":{"count":2,"slots":2,"memory":10,"recent":0}})");
     table.take_digest("other", 5, told, one_second);
@@ -208,8 +208,8 @@
     CHECK(table.running(state, 22 * one_second) == 2);
 }
 
-TEST_CASE("a replica that is listed after others told of it starts with what they told") {
-    auto scheduler = make_granting(1);
+TEST_CASE("a replica that is listed after other nodes reported load on it starts with that load") {
+    auto scheduler = make_scheduler(1);
     auto& table = scheduler.load_table;
     table.take_digest("other", 1, R"({"r1":{"count":3,"slots":3,"memory":10,"recent":1}})", one_second);
     auto list = ReplicaList();
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -76,7 +76,7 @@
     REQUIRE(wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict).held_back);
     auto const step = lifecycle.held_back();
     CHECK(step.step == Step::enqueue);
-    CHECK(step.give_back == "life-1");
+    CHECK(step.release_replica == "life-1");
     CHECK(lifecycle.try_number == 1);
     CHECK_FALSE(lifecycle.avoid);
     CHECK(lifecycle.may_have_run == 0);
--- a/tests/placement_cost_test.cpp
+++ b/tests/placement_cost_test.cpp
@@ -1,4 +1,4 @@
-// Which replica is the least busy by work outstanding. docs/design.md section 9.7.
+// Choice of the least busy replica by outstanding prefill work. docs/design.md section 9.7.
 #include "scheduling/placement_cost.hpp"
 
 #include "helpers.hpp"
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A granting table that chooses by work, as relaying nodes do.
-auto make_by_work(std::size_t replicas, std::int64_t capacity = 128) -> Scheduler {
-    auto scheduler = make_granting(replicas, capacity, 1'000'000);
+// A scheduler that chooses by outstanding work, as on nodes that relay requests.
+auto make_work_scheduler(std::size_t replicas, std::int64_t capacity = 128) -> Scheduler {
+    auto scheduler = make_scheduler(replicas, capacity, 1'000'000);
     auto options = scheduler.options;
     options.work_outstanding = true;
     options.idle_open = true;
@@ -21,11 +21,11 @@
     return scheduler;
 }
 
-// A prompt of one shared part and one of its own.
+// A request whose prompt has one shared part and one of its own.
 auto long_prompt(std::uint64_t number, std::uint64_t shared_part, std::int64_t shared, std::int64_t own)
     -> InferenceRequest {
     auto inference = make_inference(number, 10);
-    inference.parts_alone = true;
+    inference.independent_parts = true;
     inference.chain = {shared_part, 1'000'000 + number};
     inference.body.prefix = {{"shared", shared}, {"own", own}};
     inference.prefix_tokens = shared + own;
@@ -40,35 +40,37 @@
 
 }  // namespace
 
-TEST_CASE("work before the first token: what waits there, what is read, what is moved, what is copied") {
+TEST_CASE("work before the first token: outstanding prompts, prefill, transfers, and copies of shared prefixes") {
     auto view = PlacementView{.outstanding = 500, .prompt = 10'000, .shared = 8'000, .home = true};
     auto const rates = PlacementRates{0.1, 0.25};
-    CHECK(work_before_first_token(view, rates) == Approx(10'500));  // nobody keeps it, and this is its home
+    CHECK(work_before_first_token(view, rates) == Approx(10'500));  // cached nowhere, and this is its home replica
     view.home = false;
     CHECK(work_before_first_token(view, rates) == Approx(12'500));
-    view.best_cached = view.movable = 8'000;  // moved from a peer: a further copy
+    view.best_cached = view.movable = 8'000;  // transferred from a peer: a further copy
     CHECK(work_before_first_token(view, rates) == Approx(500 + 2'000 + 800 + 2'000));
     view.cached = 8'000;
     CHECK(work_before_first_token(view, rates) == Approx(2'500));
-    view.queued = 2;  // waits for two to end
+    view.queued = 2;  // waits until two requests have ended
     CHECK(work_before_first_token(view, rates) == Approx(22'500));
 }
 
-TEST_CASE("an idle replica gets a prompt whose prefix a busy one keeps, unless the wait is short") {
-    auto scheduler = make_by_work(2);
+TEST_CASE("an idle replica gets a prompt whose prefix a busy one has cached, unless the wait there is short") {
+    auto scheduler = make_work_scheduler(2);
     scheduler.load_table.take_part("r0", 7, "w1", true);
     scheduler.load_table.take_weights("r0", "w1", false);
     scheduler.load_table.take_weights("r1", "w1", false);
     scheduler.load_table.take_part("r0", 7, "w1", true);
     scheduler.load_table.place("r0", make_inference(50), 1, 5, 1'000);
-    CHECK(placed_at(scheduler, long_prompt(1, 7, 8'000, 1'000), 10) == "r0");  // 1,000 tokens wait: less than a copy
+    CHECK(
+        placed_at(scheduler, long_prompt(1, 7, 8'000, 1'000), 10) ==
+        "r0");  // 1,000 tokens outstanding cost less than a copy
     scheduler.load_table.place("r0", make_inference(51), 1, 11, 9'000);
     CHECK(placed_at(scheduler, long_prompt(2, 7, 8'000, 1'000), 12) == "r1");
 }
 
-TEST_CASE("a prefix that nobody keeps is read first at one home, whichever node decides") {
-    auto first = make_by_work(9);
-    auto second = make_by_work(9);
+TEST_CASE("a prefix cached nowhere is placed first at the same home replica, whichever node decides") {
+    auto first = make_work_scheduler(9);
+    auto second = make_work_scheduler(9);
     second.load_table.self = "another";
     for (auto part = std::uint64_t{1}; part < 20; ++part)
         CHECK(
@@ -76,8 +78,8 @@
             placed_at(second, long_prompt(100 + part, part, 8'000, 100), 10));
 }
 
-TEST_CASE("first output ends the reading of a prompt; the place is held till the end") {
-    auto scheduler = make_by_work(1);
+TEST_CASE("the first output ends a request's prefill; its place is held until the request ends") {
+    auto scheduler = make_work_scheduler(1);
     enqueue(scheduler, long_prompt(1, 7, 8'000, 1'000), 10);
     auto const placement = schedule(scheduler, 10).placements.at(0);
     auto const& state = scheduler.load_table.replicas.at("r0");
@@ -91,22 +93,22 @@
     CHECK(scheduler.load_table.running(state, 30) == 0);
 }
 
-TEST_CASE("work placed by other nodes counts, told by digests and through relays") {
-    auto teller = make_by_work(2);
-    teller.load_table.self = "teller";
-    teller.load_table.place("r0", make_inference(1), 1, 10, 6'400);
-    auto hearer = make_by_work(2);
-    hearer.load_table.take_digest("teller", 1, teller.load_table.make_digest(20), 20);
-    CHECK(hearer.load_table.unread(hearer.load_table.replicas.at("r0"), 30) == 6'400);
-    auto summed = make_by_work(2);
+TEST_CASE("work placed by other nodes counts, reported by digests and through relays") {
+    auto sender = make_work_scheduler(2);
+    sender.load_table.self = "teller";
+    sender.load_table.place("r0", make_inference(1), 1, 10, 6'400);
+    auto receiver = make_work_scheduler(2);
+    receiver.load_table.take_digest("teller", 1, sender.load_table.make_digest(20), 20);
+    CHECK(receiver.load_table.unread(receiver.load_table.replicas.at("r0"), 30) == 6'400);
+    auto summed = make_work_scheduler(2);
     summed.load_table.relayed = true;
-    auto const told = teller.load_table.make_load_report(5, 20);
+    auto const told = sender.load_table.make_load_report(5, 20);
     summed.load_table.take_sum("relay", LoadSumUpdate{1, 0, 0, 0, 1, told}, 30);
     CHECK(summed.load_table.unread(summed.load_table.replicas.at("r0"), 40) == 6'400);
 }
 
 TEST_CASE("a mostly idle small service is open to every node of a large fleet") {
-    auto scheduler = make_granting(3, 6);
+    auto scheduler = make_scheduler(3, 6);
     auto& table = scheduler.load_table;
     for (auto node = 0; node < 72; ++node)
         table.take_digest(
@@ -119,7 +121,7 @@
     };
     table.options.idle_open = true;
     CHECK(open_replicas() == 3);
-    // Past half of the places they are rationed as before: one for each node, by rank.
+    // With more than half of the places taken, they are rationed again: one for each node, by rank.
     for (auto& [name, state] : table.replicas)
         for (auto number = std::uint64_t{0}; number < 13; ++number) table.place(name, make_inference(number), 1, 15);
     auto const rationed = open_replicas();
@@ -127,12 +129,12 @@
     CHECK(open_replicas() == rationed);
 }
 
-TEST_CASE("requests without a prompt go to the least busy, and not all to the first by hash") {
-    auto scheduler = make_by_work(3, 6);
+TEST_CASE("requests without a prompt go to the least busy replica, and not all to the first by hash") {
+    auto scheduler = make_work_scheduler(3, 6);
     std::set<std::string> used;
     for (auto number = std::uint64_t{1}; number <= 3; ++number) {
         auto inference = make_inference(number, 1);
-        inference.parts_alone = true;
+        inference.independent_parts = true;
         inference.affinity = 1;
         used.insert(placed_at(scheduler, inference, 10));
     }
--- a/tests/relayed_test.cpp
+++ b/tests/relayed_test.cpp
@@ -1,4 +1,4 @@
-// Relayed requests: what is judged, what is named, what passes. docs/platform.md 4, 5, 8.
+// Relayed requests: admission, prefix cache names, the head for the replica, and streams. docs/platform.md 4, 5, 8.
 #include <catch2/catch.hpp>
 
 #include "connection/relay_session.hpp"
@@ -40,8 +40,8 @@
     return compile_services(document);
 }
 
-auto arrival(std::string_view path, std::string_view key) -> RelayArrival {
-    RelayArrival arrival;
+auto arrival(std::string_view path, std::string_view key) -> RelayedRequest {
+    RelayedRequest arrival;
     arrival.method = "POST";
     arrival.path = path;
     arrival.host = "A.example:8080";
@@ -56,42 +56,42 @@
 
 }  // namespace
 
-TEST_CASE("a relayed request is judged by route and key") {
+TEST_CASE("a relayed request is admitted by route and key") {
     auto const rules = rules_for_tests();
-    CHECK(judge_relayed(nullptr, arrival("/x/1", "key-one")).verdict.status == 503);
-    CHECK(judge_relayed(rules, arrival("/y/1", "key-one")).verdict.status == 404);
-    CHECK(judge_relayed(rules, arrival("/x/1", "")).verdict.status == 401);
-    CHECK(judge_relayed(rules, arrival("/x/1", "key-thre")).verdict.status == 401);
-    CHECK(judge_relayed(rules, arrival("/open/1", "")).verdict.kind == Verdict::Kind::enqueue);
+    CHECK(interpret_relayed(nullptr, arrival("/x/1", "key-one")).verdict.status == 503);
+    CHECK(interpret_relayed(rules, arrival("/y/1", "key-one")).verdict.status == 404);
+    CHECK(interpret_relayed(rules, arrival("/x/1", "")).verdict.status == 401);
+    CHECK(interpret_relayed(rules, arrival("/x/1", "key-thre")).verdict.status == 401);
+    CHECK(interpret_relayed(rules, arrival("/open/1", "")).verdict.kind == Verdict::Kind::enqueue);
     auto nameless = arrival("/x/1", "key-one");
     nameless.identity = "";
-    CHECK(judge_relayed(rules, nameless).verdict.status == 400);
-    auto const judged = judge_relayed(rules, arrival("/x/again/1", "key-two"));
+    CHECK(interpret_relayed(rules, nameless).verdict.status == 400);
+    auto const judged = interpret_relayed(rules, arrival("/x/again/1", "key-two"));
     REQUIRE(judged.verdict.kind == Verdict::Kind::enqueue);
     CHECK(judged.route->name == "again");
     auto const& inference = judged.verdict.inference;
     CHECK_FALSE(inference.body.run_once);
-    CHECK(inference.deadline == 13 * one_second);  // the client's, shorter than the route's
+    CHECK(inference.deadline == 13 * one_second);  // the client's timeout, shorter than the route's
     CHECK(inference.body.prefix.size() == 3);
     CHECK(inference.prefix_tokens == 1'460);
     CHECK(inference.body.max_tokens == 80);
     CHECK(inference.isolation_domain == "tenant:two");
-    CHECK(judge_relayed(rules, arrival("/x/1", "key-one")).verdict.inference.body.run_once);
+    CHECK(interpret_relayed(rules, arrival("/x/1", "key-one")).verdict.inference.body.run_once);
 }
 
-TEST_CASE("nonsense in a head never stops a relayed request") {
+TEST_CASE("invalid optional values in a head do not stop a relayed request") {
     auto const rules = rules_for_tests();
     auto odd = arrival("/x/1", "key-one");
     odd.deadline = "-3";
     odd.tokens = "99999999999999999999,x";
     odd.prefix = "a:1,:5,b:x,c:7";
-    auto const inference = judge_relayed(rules, odd).verdict.inference;
+    auto const inference = interpret_relayed(rules, odd).verdict.inference;
     CHECK(inference.deadline == 14 * one_second);
-    CHECK(inference.body.prefix.size() == 1);  // what follows nonsense can't be found by it
+    CHECK(inference.body.prefix.size() == 1);  // nothing after an invalid part is used
     CHECK(inference.body.max_tokens == 1);
 }
 
-TEST_CASE("walls and weights are parts of the salt, and affinity knows neither the last part nor the key") {
+TEST_CASE("the salt depends on isolation and weights, and affinity neither on the last part nor on the key") {
     CHECK(salt_of("two", "7") != salt_of("", "7"));
     CHECK(salt_of("", "7") != salt_of("", "8"));
     CHECK(read_salt(salt_of("two", "7")) == std::pair(std::string("two"), std::string("7")));
@@ -100,16 +100,16 @@
     auto first = arrival("/x/1", "key-one");
     auto second = first;
     second.prefix = "5c:800,91:410,ff:999";
-    auto const one = judge_relayed(rules, first).verdict.inference;
-    auto const other = judge_relayed(rules, second).verdict.inference;
+    auto const one = interpret_relayed(rules, first).verdict.inference;
+    auto const other = interpret_relayed(rules, second).verdict.inference;
     CHECK(one.affinity == other.affinity);
     CHECK(one.chain[1] == other.chain[1]);
     CHECK(one.chain[2] != other.chain[2]);
-    auto const walled = judge_relayed(rules, arrival("/x/1", "key-two")).verdict.inference;
+    auto const walled = interpret_relayed(rules, arrival("/x/1", "key-two")).verdict.inference;
     CHECK(walled.chain[0] != one.chain[0]);
 }
 
-TEST_CASE("the head for a replica holds nothing of the client's under names the fleet sets") {
+TEST_CASE("the head for a replica has no client value in a header that the fleet sets") {
     auto const form = testing::relay_form();
     auto request = HttpRequest(http::verb::post, "/x/1?q=%20", 11);
     request.set(http::field::host, "a.example");
@@ -122,7 +122,7 @@
     request.set("X-Hop", "dropped");
     request.set("X-Kept", "kept");
     request.body() = "body";
-    auto const judged = judge_relayed(rules_for_tests(), arrival("/x/1", "key-one"));
+    auto const judged = interpret_relayed(rules_for_tests(), arrival("/x/1", "key-one"));
     RequestLifecycle lifecycle;
     lifecycle.inference = judged.verdict.inference;
     lifecycle.placement.replica = "life-1";
@@ -140,14 +140,14 @@
     CHECK(head.ends_with("\r\n\r\n"));
 }
 
-TEST_CASE("events pass whole, in order, and a second run goes on after the last") {
+TEST_CASE("events are passed on whole and in order, and a resumed stream continues after the last one") {
     EventReader reader;
     CHECK(reader.take("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
     CHECK(reader.last == 1);
     CHECK(reader.take("ta: b\n") == "");
     CHECK(reader.take("\n") == "id: 2\ndata: b\n\n");
     CHECK(reader.take("id: 3\ndata: cut") == "");
-    reader.restart();  // another replica goes on, and repeats one
+    reader.restart();  // another replica resumes, and repeats one event
     CHECK(reader.take("id: 2\ndata: b\n\nid: 3\ndata: c\n\n") == "id: 3\ndata: c\n\n");
     CHECK(reader.last == 3);
     EventReader lines;
--- a/tests/sharing_scope_test.cpp
+++ b/tests/sharing_scope_test.cpp
@@ -1,4 +1,4 @@
-// Kept prompts and walls that go up, come down and move. docs/design.md section 7.
+// Sharing of cached prompts while the isolation of tenants changes. docs/design.md section 7.
 #include "base/basics.hpp"
 #include "helpers.hpp"
 #include "request/relayed.hpp"
@@ -8,7 +8,8 @@
 
 namespace {
 
-using Makers = std::map<std::string, std::set<std::string>>;  // what a replica keeps: its key -> who made it
+using Creators =
+    std::map<std::string, std::set<std::string>>;  // a replica's cache: key -> tenants that created entries
 
 auto document_of(std::vector<ServiceTenant> tenants) -> ServiceDocument {
     auto document = ServiceDocument();
@@ -40,99 +41,103 @@
     return compile_services(document_of(made));
 }
 
-// Under what a replica keeps the shared part of a tenant's request: by salt, and as the nodes' index has it.
-auto kept_under(Services const& rules, std::string const& tenant) -> std::string {
+// The cache key of the shared part of a tenant's request: its salt. Also checks the key in the nodes' index.
+auto cache_key_of(Services const& rules, std::string const& tenant) -> std::string {
     auto const key = "key-" + tenant;
-    auto arrival = RelayArrival();
+    auto arrival = RelayedRequest();
     arrival.method = "POST";
     arrival.path = "/a";
     arrival.host = "r";
     arrival.identity = "id-1";
     arrival.key = key;
     arrival.prefix = "5c:800,e4:250";
-    auto const inference = judge_relayed(rules, arrival).verdict.inference;
+    auto const inference = interpret_relayed(rules, arrival).verdict.inference;
     REQUIRE(inference.chain.size() == 2);
     CHECK(inference.chain[0] == part_hash(inference.isolation_domain, "5c"));
     return salt_of(inference.isolation_domain, "1");
 }
 
-auto walled(Services const& rules, std::string const& tenant) -> bool {
+auto is_isolated(Services const& rules, std::string const& tenant) -> bool {
     auto const* const found = rules->tenant_of("key-" + tenant);
     return found != nullptr && found->isolated;
 }
 
-// A request of the tenant finds what is kept, and leaves a part of its own. Whether it used what a wall forbids.
-auto breaks_a_wall(Services const& rules, std::string const& tenant, Makers& kept) -> bool {
-    auto& makers = kept[kept_under(rules, tenant)];
+// Runs a request of the tenant, which uses the cache and adds to it. Returns whether it used an entry of another
+// tenant although one of the two is isolated.
+auto crosses_isolation(Services const& rules, std::string const& tenant, Creators& kept) -> bool {
+    auto& creators = kept[cache_key_of(rules, tenant)];
     auto broken = false;
-    for (auto const& maker : makers)
-        broken = broken || (maker != tenant && (walled(rules, maker) || walled(rules, tenant)));
-    makers.insert(tenant);
+    for (auto const& creator : creators)
+        broken = broken || (creator != tenant && (is_isolated(rules, creator) || is_isolated(rules, tenant)));
+    creators.insert(tenant);
     return broken;
 }
 
 }  // namespace
 
-// Guards against parts that a tenant left before it became isolated and that others go on using.
-TEST_CASE("what a tenant left before it became isolated is found by nobody else, and by itself no more") {
+// Guards against cache entries that a tenant created before it was isolated and that other tenants go on using.
+TEST_CASE("cache entries from before a tenant was isolated are no longer found, by others or by itself") {
     auto const before = services_of({{"alpha", false}, {"beta", false}, {"gamma", false}});
     auto const after = services_of({{"alpha", true}, {"beta", false}, {"gamma", false}});
-    REQUIRE(kept_under(before, "alpha") == kept_under(before, "beta"));
-    CHECK(kept_under(after, "beta") != kept_under(before, "beta"));
-    CHECK(kept_under(after, "alpha") != kept_under(before, "alpha"));
-    CHECK(kept_under(after, "beta") == kept_under(after, "gamma"));  // who is not walled off shares on
+    REQUIRE(cache_key_of(before, "alpha") == cache_key_of(before, "beta"));
+    CHECK(cache_key_of(after, "beta") != cache_key_of(before, "beta"));
+    CHECK(cache_key_of(after, "alpha") != cache_key_of(before, "alpha"));
+    CHECK(cache_key_of(after, "beta") == cache_key_of(after, "gamma"));  // tenants that aren't isolated go on sharing
     auto const freed = services_of({{"gamma", false}, {"beta", false}, {"alpha", false}});
-    CHECK(kept_under(freed, "beta") == kept_under(before, "beta"));  // by the set alone, in whatever order
+    CHECK(
+        cache_key_of(freed, "beta") ==
+        cache_key_of(before, "beta"));  // depends on the set of isolated tenants, not on order
     auto const unlike = services_of({{"alpha", false}, {"beta", true}, {"gamma", false}});
-    CHECK(kept_under(unlike, "gamma") != kept_under(after, "gamma"));
+    CHECK(cache_key_of(unlike, "gamma") != cache_key_of(after, "gamma"));
 }
 
-TEST_CASE("no name of a tenant makes the text under which others share") {
-    auto const shared = kept_under(services_of({{"alpha", true}, {"beta", false}}), "beta");
+TEST_CASE("no tenant name yields the scope text of other tenants") {
+    auto const shared = cache_key_of(services_of({{"alpha", true}, {"beta", false}}), "beta");
     auto const text = shared.substr(shared.find('/') + 1);
     for (auto const& name : {text, "tenant:" + text, std::string("~"), std::string("/")}) {
         auto const rules = services_of({{"alpha", true}, {"beta", false}, {name, true}});
-        CHECK(kept_under(rules, name) != kept_under(rules, "beta"));
-        CHECK(kept_under(rules, name) != shared);
+        CHECK(cache_key_of(rules, name) != cache_key_of(rules, "beta"));
+        CHECK(cache_key_of(rules, name) != shared);
     }
-    // Two sets of names that read alike when they are put side by side.
+    // Two sets of names that are the same text when concatenated.
     CHECK(
-        kept_under(services_of({{"a", true}, {"bc", true}, {"d", false}}), "d") !=
-        kept_under(services_of({{"ab", true}, {"c", true}, {"d", false}}), "d"));
+        cache_key_of(services_of({{"a", true}, {"bc", true}, {"d", false}}), "d") !=
+        cache_key_of(services_of({{"ab", true}, {"c", true}, {"d", false}}), "d"));
 }
 
-TEST_CASE("no request finds a part across a wall, whatever walls change, on nodes of different versions") {
+TEST_CASE("no request uses cache entries across an isolation boundary while it changes and nodes lag behind") {
     for (auto seed = std::uint64_t{1}; seed <= 300; ++seed) {
         auto random = Random(seed);
         auto const names = std::vector<std::string>{"alpha", "beta", "gamma", "delta"};
         std::map<std::string, bool> tenants;
         auto versions = std::vector<Services>{services_of({})};
-        Makers kept;
+        Creators kept;
         for (auto step = 0; step < 60; ++step) {
             auto const& name = names[random.next() % names.size()];
             auto const action = random.next() % 6;
-            if (action == 0) tenants.erase(name);  // removed, perhaps to come again
+            if (action == 0) tenants.erase(name);  // removed; may be added again later
             if (action == 1) tenants[name] = random.next() % 2 == 0;
             if (action <= 1) versions.push_back(services_of({tenants.begin(), tenants.end()}));
             if (action == 2) kept.clear();  // the replicas were restarted
             auto const behind = std::min<std::size_t>(random.next() % 3, versions.size() - 1);
-            auto const& rules = versions[versions.size() - 1 - behind];  // of a node that may lag
+            auto const& rules =
+                versions[versions.size() - 1 - behind];  // of a node that may be up to two versions behind
             if (rules->tenant_of("key-" + name) == nullptr) continue;
             INFO("seed " << seed << " step " << step << " " << name);
-            REQUIRE_FALSE(breaks_a_wall(rules, name, kept));
+            REQUIRE_FALSE(crosses_isolation(rules, name, kept));
         }
     }
 }
 
 namespace {
 
-struct TreeWalls {
-    bool group = false;     // the group has a wall of its own
-    bool one = false;       // a tenant in it is isolated
-    bool outsider = false;  // a tenant outside of it is
+struct TreeIsolation {
+    bool group = false;     // the group is isolated from the rest
+    bool one = false;       // a tenant in the group is isolated
+    bool outsider = false;  // a tenant outside of the group is isolated
 };
 
-auto tree_of(TreeWalls const& walls) -> std::string {
+auto tree_of(TreeIsolation const& walls) -> std::string {
     auto text = replaced(tree(), "\"rank\":7,\"wall\":\"group\"", walls.group ? "\"wall\":\"group\"" : "\"rank\":7");
     text =
         replaced(text, "\"name\":\"north\"", walls.one ? R"("name":"north","wall":"isolated")" : R"("name":"north")");
@@ -141,13 +146,14 @@
     return replaced(text, ",\"models\":[\"small\"]", "");
 }
 
-// What the product's own replicas find a prompt by, for each tenant.
+// The first prefix chain hash of a tenant's request, by which this project's own replicas look up their cache.
 auto chain_of(std::string const& configuration, std::string const& tenant) -> std::uint64_t {
     auto const keys =
         std::map<std::string, std::string>{{"north", "secret-0"}, {"south", "secret-1"}, {"citizens", "secret-2"}};
     auto const rules = compile_rules({1, 1}, configuration);
     auto const body = R"({"model":"small","max_tokens":10,"prefix":[{"name":"a","tokens":100}],"tenant":")" + tenant;
-    auto const verdict = interpret(*rules, Arrival{"POST", "/v1/generate", keys.at(tenant), body + "\"}", "", 0});
+    auto const verdict =
+        interpret(*rules, IncomingRequest{"POST", "/v1/generate", keys.at(tenant), body + "\"}", "", 0});
     REQUIRE(verdict.kind == Verdict::Kind::enqueue);
     return verdict.inference.chain.front();
 }
@@ -160,8 +166,8 @@
 
 }  // namespace
 
-// The same fault in the product's own tree: shared, then group or isolated.
-TEST_CASE("walls of the tree: no part is found across one, whatever walls go up and come down") {
+// The same failure with the configuration tree: shared at first, then isolated as a group or a tenant.
+TEST_CASE("isolation in the configuration tree: no cache entry is used across a boundary while it changes") {
     for (auto seed = std::uint64_t{1}; seed <= 40; ++seed) {
         auto random = Random(seed);
         std::map<std::uint64_t, std::set<std::string>> kept;
@@ -171,9 +177,9 @@
             REQUIRE(check_configuration(text).problems.empty());
             for (auto const* tenant : {"north", "south", "citizens"}) {
                 INFO("seed " << seed << " step " << step << " " << tenant);
-                auto& makers = kept[chain_of(text, tenant)];
-                for (auto const& maker : makers) REQUIRE(domain_of(text, maker) == domain_of(text, tenant));
-                makers.insert(tenant);
+                auto& creators = kept[chain_of(text, tenant)];
+                for (auto const& creator : creators) REQUIRE(domain_of(text, creator) == domain_of(text, tenant));
+                creators.insert(tenant);
             }
         }
     }
--- a/tests/simulation/fleet_tickets.cpp
+++ b/tests/simulation/fleet_tickets.cpp
@@ -5,7 +5,7 @@
 
 auto Fleet::judge_ticket(std::size_t index, std::uint64_t number) -> Verdict {
     auto const& asking = askings.at(number);
-    auto const arrival = Arrival{"POST", "/v1/generate", asking.key, asking.body, "", local(index)};
+    auto const arrival = IncomingRequest{"POST", "/v1/generate", asking.key, asking.body, "", local(index)};
     auto verdict = interpret(*planes[index].snapshot->rules, arrival);
     verdict.inference.number = number;
     if (options.planted_skip_walls && verdict.kind == Verdict::Kind::enqueue) {
@@ -48,7 +48,7 @@
     auto const found = plane.courses.find(number);
     if (found == plane.courses.end()) return;
     auto& lifecycle = found->second.lifecycle;
-    if (!step.give_back.empty()) plane.scheduler.load_table.release(step.give_back, number);
+    if (!step.release_replica.empty()) plane.scheduler.load_table.release(step.release_replica, number);
     auto const ticket = claim_owner(world.nodes[index]->control.membership.self.identity, number);
     auto const part = partition_of_service(lifecycle.inference.body.model);
     if (step.release_claim) world.claim(index, ClaimAsk{part, 0, claim_key(lifecycle.inference), ticket, true}, {});
@@ -70,7 +70,8 @@
             auto verdict = judge_ticket(index, number);
             auto const under = plane.snapshot->rules->sequence;
             return drive(
-                index, number, lifecycle.judged(std::move(verdict), under, facts(index, lifecycle.placement.replica)));
+                index, number,
+                lifecycle.reinterpreted(std::move(verdict), under, facts(index, lifecycle.placement.replica)));
         }
         case Step::send: return send(index, number);
         case Step::answer_shed:
@@ -110,7 +111,7 @@
         found->second.entered = false;
         drive(
             index, shed.request_number,
-            found->second.lifecycle.given_up(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
+            found->second.lifecycle.was_shed(shed_names[static_cast<std::size_t>(shed.reason)], shed.retry_after));
     }
     for (auto const& placement : decisions.placements) {  // between the match and the checks a node may be frozen
         if (auto const found = plane.courses.find(placement.request_number); found != plane.courses.end())
--- a/tests/splits_test.cpp
+++ b/tests/splits_test.cpp
@@ -32,12 +32,12 @@
 }
 
 auto judged(std::shared_ptr<ServiceRules const> const& rules, std::string const& identity) -> RelayVerdict {
-    auto arrival = RelayArrival();
+    auto arrival = RelayedRequest();
     arrival.method = "POST";
     arrival.path = "/a";
     arrival.host = "h";
     arrival.identity = identity;
-    return judge_relayed(rules, arrival);
+    return interpret_relayed(rules, arrival);
 }
 
 // The greatest distance of a service's share from that of its weights.
@@ -136,12 +136,12 @@
     placement.replica = "life-of-a";
     REQUIRE(lifecycle.placed(placement, facts).step == Step::interpret);
     auto begun = lifecycle;
-    auto const step = lifecycle.judged(judged(after, "id-1").verdict, facts.rules, facts);
+    auto const step = lifecycle.reinterpreted(judged(after, "id-1").verdict, facts.rules, facts);
     CHECK(step.step == Step::enqueue);
-    CHECK(step.give_back == "life-of-a");
+    CHECK(step.release_replica == "life-of-a");
     CHECK(lifecycle.inference.body.model == "b");
     CHECK(lifecycle.inference.number == 7);
     begun.history.output_begun = true;  // a stream under way goes on where it began
-    CHECK(begun.judged(judged(after, "id-1").verdict, facts.rules, facts).step == Step::send);
+    CHECK(begun.reinterpreted(judged(after, "id-1").verdict, facts.rules, facts).step == Step::send);
     CHECK(begun.inference.body.model == "a");
 }
