--- a/source/base/copy_change.cpp
+++ b/source/base/copy_change.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr auto outcome_size = std::size_t{100};  // about, as JSON
+constexpr auto outcome_size = std::size_t{100};  // approximate size of one as JSON
 
-// How many of the newest outcomes of `base` are the oldest of `made`.
+// The number of outcomes that `base` ends with and `made` begins with.
 auto outcomes_shared(Copy const& base, Copy const& made) -> std::size_t {
     if (base.outcomes.empty()) return 0;
     auto const& newest = base.outcomes.back();
--- a/source/base/copy_change.hpp
+++ b/source/base/copy_change.hpp
@@ -1,23 +1,24 @@
 #pragma once
-// How one copy of a partition follows from another: what the group sends and
-// the disk logs for a change, instead of whole copies. docs/design.md 5.4.
+// The difference between two copies of a partition. Replicas send it and log it
+// to disk instead of whole copies. docs/design.md 5.4.
 #include "base/records.hpp"
 #include "base/text_difference.hpp"
 
 namespace dockrock {
 
 struct CopyChange {
-    Sequence base;
-    Sequence sequence;         // of the copy that it makes
-    std::uint64_t digest = 0;  // of the document that it makes
+    Sequence base;             // of the copy that it applies to
+    Sequence sequence;         // of the resulting copy
+    std::uint64_t digest = 0;  // of the resulting document
     TextEdits edits;
-    std::uint64_t outcomes_dropped = 0;  // the oldest
-    std::vector<Outcome> outcomes_added;
+    std::uint64_t outcomes_dropped = 0;   // removed from the front, oldest first
+    std::vector<Outcome> outcomes_added;  // appended at the back
 };
 
-// Nothing where the whole copy is not larger.
+// The change that turns `base` into `made`; empty where the whole copy would be no larger.
 auto change_between(Copy const& base, Copy const& made) -> std::optional<CopyChange>;
-// False, and `held` stays as it is, where the change does not fit it.
+// Applies the change in place. Returns false and leaves `held` unmodified where the base sequence, an edit or the
+// digest of the result does not match.
 auto apply_change(Copy& held, CopyChange const& change) -> bool;
 
 }  // namespace dockrock
--- a/source/base/input_scope.cpp
+++ b/source/base/input_scope.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace dockrock
 
-// The handlers that the libraries call where BOOST_ENABLE_ASSERT_HANDLER is defined.
+// Boost calls these handlers where BOOST_ENABLE_ASSERT_HANDLER is defined.
 namespace boost {
 
 auto assertion_failed(char const* expression, char const* function, char const* file, long line) -> void {
--- a/source/base/input_scope.hpp
+++ b/source/base/input_scope.hpp
@@ -1,11 +1,10 @@
 #pragma once
-// What an assertion of the Boost libraries does. Elsewhere it ends the process, as one of ours does
-// (base/invariants.hpp); while input from the network is parsed it throws, so that the input ends its own connection
-// alone. docs/requests.md.
+// Handling of failed assertions inside the Boost libraries. By default one aborts the process; while network input is
+// parsed it throws instead, so that bad input ends only its own connection. docs/requests.md.
 
 namespace dockrock {
 
-// While one lives, a failed assertion of the libraries on this thread throws std::logic_error.
+// While an instance exists, a failed library assertion on its thread throws std::logic_error.
 class InputScope {
    public:
     InputScope();
--- a/source/base/invariant_checks.hpp
+++ b/source/base/invariant_checks.hpp
@@ -1,16 +1,17 @@
 #pragma once
-// Each invariant as a pure function of facts, apart from the logic that is to keep it, and its
-// check, which counts where it is broken. docs/consensus.md section 5.
+// Each invariant as a pure predicate over plain values (`keeps`), independent of the code that must maintain it, and a
+// `check` that evaluates it and counts violations. docs/consensus.md section 5.
 #include "base/invariants.hpp"
 #include "base/records.hpp"
 
 namespace dockrock::invariants {
 
-// Only a configuration can justify these: no such route, no such key, not allowed.
+// A refused request. The statuses 401, 403 and 404 (unknown key, not allowed, unknown route) follow from the
+// configuration alone, so they need a recent proof that it is current.
 struct RefusalFacts {
     int status = 0;
     Microseconds proof_age = 0;
-    Microseconds bound = 0;  // in which an acknowledged configuration is in force
+    Microseconds bound = 0;  // within which an acknowledged configuration is in force on every node
 };
 constexpr auto rests_on_configuration(int status) -> bool { return status == 401 || status == 403 || status == 404; }
 constexpr auto keeps(RefusalFacts const& facts) -> bool {
@@ -22,13 +23,13 @@
         InvariantFact{"proof_age", facts.proof_age}, InvariantFact{"bound", facts.bound});
 }
 
-// A request right before it is written.
+// A request immediately before it is sent to a replica.
 struct SendFacts {
     Microseconds proof_age = 0;
     Microseconds proof_limit = 0;
-    bool listed = false;  // without a drain mark
-    Sequence rules;       // in force
-    Sequence judged;      // that it was judged under
+    bool listed = false;  // the replica is in the list and not marked for draining
+    Sequence rules;       // the rules in force
+    Sequence judged;      // the rules under which the request was admitted
 };
 constexpr auto keeps(SendFacts const& facts) -> bool {
     return facts.proof_age <= facts.proof_limit && facts.listed && facts.rules == facts.judged;
@@ -41,12 +42,12 @@
         InvariantFact{"judged", static_cast<std::int64_t>(facts.judged.number)});
 }
 
-// One model of a replica, against one version that was named.
+// The weights of one model on one replica, compared with one announced version.
 struct VersionFacts {
-    std::int64_t held = 0;
-    std::int64_t named = 0;
-    Microseconds named_for = 0;  // since this node knows
-    Microseconds bound = 0;      // less the time in flight
+    std::int64_t held = 0;       // version on the replica
+    std::int64_t named = 0;      // version that was announced
+    Microseconds named_for = 0;  // how long this node has known of it
+    Microseconds bound = 0;      // by which the replica must have it, less the request's time in flight
 };
 constexpr auto keeps(VersionFacts const& facts) -> bool {
     return facts.held >= facts.named || facts.named_for <= facts.bound;
@@ -58,7 +59,8 @@
         InvariantFact{"bound", facts.bound});
 }
 
-// What a node held in force, and what it is to hold; digests only where the sequence is the same.
+// A configuration update on a node: the one in force and its replacement. Digests are compared only where the
+// sequences are equal.
 struct InForceFacts {
     Sequence held;
     Sequence fresh;
@@ -77,15 +79,15 @@
         InvariantFact{"fresh_number", static_cast<std::int64_t>(facts.fresh.number)});
 }
 
-// An order to a replica right before it is written.
+// An order to a replica immediately before it is sent.
 struct OrderFacts {
-    bool leased = false;         // when the lease was looked at
-    Microseconds lease_age = 0;  // since then
-    std::uint64_t fence = 0;
-    std::uint64_t term = 0;           // in force then
+    bool leased = false;              // the lease was held when it was last checked
+    Microseconds lease_age = 0;       // time since that check
+    std::uint64_t fence = 0;          // fencing token of the order
+    std::uint64_t term = 0;           // current at that check
     std::uint64_t highest_fence = 0;  // sent by this node so far
-    Microseconds since_other = 0;     // since another holder was in force, as far as this node knows
-    Microseconds wait = 0;            // that a new holder owes
+    Microseconds since_other = 0;     // since another holder was last in force, as far as this node knows
+    Microseconds wait = 0;            // that a new holder must let pass before its first order
 };
 inline constexpr Microseconds lease_check_age = 5 * one_millisecond;
 constexpr auto keeps(OrderFacts const& facts) -> bool {
@@ -101,13 +103,13 @@
         InvariantFact{"since_other", facts.since_other}, InvariantFact{"wait", facts.wait});
 }
 
-// A lease, counted from the grants themselves.
+// The leader's lease, recomputed from the votes granted.
 struct LeaseFacts {
-    bool leads = false;  // by the record in force, with a disk that answers
+    bool leads = false;  // named leader in the record in force, and the disk works
     std::size_t voters = 0;
-    std::size_t grants = 0;  // that have not run out
+    std::size_t grants = 0;  // that have not expired
 };
-// Every majority of the voters contains one that granted.
+// Holds where every majority of the voters contains at least one that granted.
 constexpr auto keeps(LeaseFacts const& facts) -> bool {
     return facts.leads && facts.voters > 0 && facts.grants + facts.voters / 2 + 1 > facts.voters;
 }
@@ -118,12 +120,12 @@
         InvariantFact{"grants", static_cast<std::int64_t>(facts.grants)});
 }
 
-// An acknowledgement right before it leaves the leader.
+// An acknowledgement immediately before the leader sends it.
 struct DurabilityFacts {
-    bool committed = false;     // what is committed covers it
-    std::size_t members = 0;    // named in the record
-    std::size_t synced = 0;     // of them, that reported it synced
-    bool earlier_term = false;  // all members of the record took it synced before the record was decided
+    bool committed = false;     // its sequence is at or below the committed one
+    std::size_t members = 0;    // of the group in the record
+    std::size_t synced = 0;     // members that reported it synced to disk
+    bool earlier_term = false;  // from before this record, whose members all had it synced before it was decided
 };
 constexpr auto keeps(DurabilityFacts const& facts) -> bool {
     return facts.committed && (facts.earlier_term || facts.synced >= facts.members);
@@ -136,12 +138,12 @@
         InvariantFact{"earlier_term", facts.earlier_term});
 }
 
-// What a node knows of a partition's records, before and now.
+// The highest term of a partition that a node knows of, before and after an event.
 struct TermFacts {
     std::uint64_t known_before = 0;
     std::uint64_t known = 0;
-    bool leased = false;     // this node holds the lease,
-    std::uint64_t term = 0;  // of this term
+    bool leased = false;     // this node holds the lease
+    std::uint64_t term = 0;  // the term of that lease
 };
 constexpr auto keeps(TermFacts const& facts) -> bool {
     return facts.known >= facts.known_before && (!facts.leased || facts.term >= facts.known);
@@ -154,16 +156,18 @@
         InvariantFact{"term", static_cast<std::int64_t>(facts.term)});
 }
 
+// A request that is to be sent to a replica, possibly again.
 struct RunOnceFacts {
     bool run_once = false;
-    int may_have_run = 0;  // earlier tries
+    int may_have_run = 0;  // number of earlier tries that may have run
 };
 constexpr auto keeps(RunOnceFacts const& facts) -> bool { return !facts.run_once || facts.may_have_run == 0; }
 inline auto check(RunOnceFacts const& facts) -> bool {
     return holds(Invariant::run_once_sent_once, keeps(facts), InvariantFact{"may_have_run", facts.may_have_run});
 }
 
-// A question that was held is answered by a proof of when it was let go: later than asked, never than now.
+// The time of a freshness proof. A request that the leader held back is answered with a proof as of its release:
+// later than the request was made, but never later than now.
 struct ProofFacts {
     Microseconds proven_at = 0;
     Microseconds asked_at = 0;
--- a/source/base/invariants.hpp
+++ b/source/base/invariants.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What must hold, checked in the code right before the effect: a name and a counter for each
-// invariant, and whom a violation is told to. docs/consensus.md section 5.
+// Run-time checks of safety invariants, made immediately before the action that could break one: a name
+// and a violation counter for each, and the callback that reports violations. docs/consensus.md section 5.
 #include <array>
 #include <span>
 #include <string_view>
@@ -10,16 +10,16 @@
 namespace dockrock {
 
 enum class Invariant : int {
-    refusal_under_proof,        // a refusal that only a configuration justifies leaves under a young proof
-    send_under_proof,           // a request is written under a young proof, to a listed replica, by its rules
-    weights_not_overdue,        // nor to a replica whose weights are older than named ones past their bound
-    configuration_never_back,   // what is in force never falls, and one sequence has one content
-    order_under_lease,          // an order to a replica leaves under a lease, its fence and its tenure
-    read_under_lease,           // a read is answered under a lease
-    acknowledged_is_durable,    // an acknowledgement leaves once all members reported it synced
-    one_lease,                  // terms never fall, and a leased leader knows of no successor
-    run_once_sent_once,         // what runs at most once is not written again after a try that may have run
-    proof_not_from_the_future,  // a proof is no younger than the moment it is taken
+    refusal_under_proof,        // refusals that depend on the configuration need a recent freshness proof of it
+    send_under_proof,           // a request is sent under a recent proof, to a listed replica, by the current rules
+    weights_not_overdue,        // no request goes to a replica that lacks announced weights beyond their time bound
+    configuration_never_back,   // the sequence in force never decreases, and one sequence has one content
+    order_under_lease,          // orders to replicas need a lease, its current fence and the takeover wait
+    read_under_lease,           // a read is answered only under a lease
+    acknowledged_is_durable,    // a change is acknowledged only after all group members reported it synced
+    one_lease,                  // known terms never decrease, and a leader with a lease knows of no successor
+    run_once_sent_once,         // a run-once request is not sent again after a try that may have run
+    proof_not_from_the_future,  // the time of a proof is not later than the time it is received
 };
 inline constexpr auto invariant_names = std::to_array<std::string_view>(
     {"refusal-under-proof", "send-under-proof", "weights-not-overdue", "configuration-never-back", "order-under-lease",
@@ -27,7 +27,7 @@
 inline constexpr auto invariant_count = invariant_names.size();
 constexpr auto name_of(Invariant which) -> std::string_view { return invariant_names[static_cast<std::size_t>(which)]; }
 
-// One number that a check looked at.
+// One input of a check, for the report of a violation.
 struct InvariantFact {
     std::string_view name;
     std::int64_t value = 0;
@@ -36,21 +36,21 @@
 
 namespace invariants {
 
-// Told of each violation, on the thread that met it.
+// Called for each violation, on the thread that detected it.
 using Sink = void (*)(Invariant which, InvariantFacts facts);
 auto set_sink(Sink sink) -> void;
 
-auto count(Invariant which) -> std::uint64_t;  // in this process
-auto total() -> std::uint64_t;
-// For simulators, which run a world to a thread.
+auto count(Invariant which) -> std::uint64_t;  // violations of one invariant in this process
+auto total() -> std::uint64_t;                 // of all invariants
+// Count and last description for this thread: simulators run one simulated fleet on each thread.
 auto met_on_this_thread() -> std::uint64_t;
 auto last_on_this_thread() -> std::string const&;
 auto describe(Invariant which, InvariantFacts facts) -> std::string;
 
-// Counts it and tells the sink; never stops the process.
+// Counts the violation and calls the sink; does not stop the process.
 [[gnu::cold, gnu::noinline]] auto violated(Invariant which, InvariantFacts facts) -> void;
 
-// Where it is kept this costs its comparisons and a branch.
+// Returns `kept`, and reports a violation where it is false. The usual path costs only the comparisons and a branch.
 template <typename... Facts>
 auto holds(Invariant which, bool kept, Facts const&... facts) -> bool {
     if (kept) [[likely]]
--- a/source/base/json_structs.hpp
+++ b/source/base/json_structs.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Reading and writing JSON over Hana-adapted structs; every problem is kept
-// with its path, none stops the reading. docs/design.md section 7.
+// Reads and writes Hana-adapted structs as JSON. Reading goes on after an error:
+// every problem is collected with its path. docs/design.md section 7.
 #include <boost/hana.hpp>
 #include <boost/json.hpp>
 #include <limits>
@@ -17,7 +17,7 @@
 namespace hana = boost::hana;
 
 struct Problem {
-    std::string path;
+    std::string path;  // to the value, such as /routes/0/name
     std::string what;
 };
 using Problems = std::vector<Problem>;
@@ -87,7 +87,7 @@
 template <typename Type>
 auto read_json(json::value const& from, Type& into, std::string const& path, Problems& problems) -> void;
 
-// Where the value is not of the wanted kind; `kind` as in "a list".
+// Reports a value of the wrong type; `kind` is the expected one with its article, such as "a list".
 inline auto not_of_kind(std::string const& path, std::string_view kind, Problems& problems) -> void {
     problems.push_back({path, "must be " + std::string(kind)});
 }
@@ -164,7 +164,7 @@
     }
 }
 
-// Parses bounded text; nothing where it is no JSON.
+// Empty where the text is not valid JSON or is nested more than 48 levels deep.
 inline auto parse_json(std::string_view text) -> std::optional<json::value> {
     boost::system::error_code failure;
     json::parse_options options;
@@ -174,8 +174,8 @@
     return parsed;
 }
 
-// An object from names and values in turn. (Lists in braces inside coroutines
-// are more than this compiler can take.)
+// Builds an object from alternating names and values. Replaces braced initializer
+// lists, which this compiler cannot handle inside coroutines.
 inline auto fields(json::object so_far = {}) -> json::object { return so_far; }
 template <typename Value, typename... Rest>
 auto fields(char const* name, Value&& value, Rest&&... rest) -> json::object {
--- a/source/base/memory_budget.hpp
+++ b/source/base/memory_budget.hpp
@@ -1,23 +1,23 @@
 #pragma once
-// Bytes that a process may hold at once of what its peers send: whoever keeps a message takes its size from one budget
-// and gives it back at the end. docs/CAPACITY.md.
+// Limits the bytes of received messages that a process holds at once: whoever keeps a message reserves its size from
+// one shared budget and releases it at the end. docs/CAPACITY.md.
 #include <atomic>
 #include <cstdint>
 #include <limits>
 
 namespace dockrock {
 
-// Safe to use by several threads.
+// Thread-safe, except set_most.
 class MemoryBudget {
    public:
     static constexpr auto unlimited = std::numeric_limits<std::uint64_t>::max();
 
-    // Bytes; before the first one is taken.
+    // In bytes. Must be called before the first reservation.
     auto set_most(std::uint64_t bytes) -> void { most_bytes = bytes; }
     auto most() const -> std::uint64_t { return most_bytes; }
     auto used() const -> std::uint64_t { return used_bytes; }
     auto refusals() const -> std::uint64_t { return refused; }
-    // False, and nothing taken, where less is left.
+    // Reserves the bytes; returns false and reserves nothing where fewer are free.
     auto take(std::uint64_t bytes) -> bool;
     auto give_back(std::uint64_t bytes) -> void { used_bytes -= bytes; }
 
@@ -27,18 +27,18 @@
     std::atomic<std::uint64_t> refused{0};
 };
 
-// What one message has taken; given back with it.
+// The reservation of one message, released on destruction.
 class MemoryShare {
    public:
-    // A message that holds no more than this costs nothing: their number is bounded by that of the connections.
+    // Messages up to this size need no reservation: the number of connections already bounds their total.
     static constexpr auto free_bytes = std::uint64_t{24U << 10U};
 
     explicit MemoryShare(MemoryBudget& from) : budget(from) {}
     MemoryShare(MemoryShare const&) = delete;
     ~MemoryShare() { budget.give_back(taken); }
-    // Takes what is missing for a message of `bytes`. False where that is not left.
+    // Raises the reservation to cover a message of `bytes`. Returns false where the budget does not allow it.
     auto grow_to(std::uint64_t bytes) -> bool;
-    // Gives back what a message of `bytes` has too much.
+    // Releases what exceeds the needs of a message of `bytes`.
     auto shrink_to(std::uint64_t bytes) -> void;
 
    private:
--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What nodes say to each other. docs/design.md sections 3 to 8.
+// The messages between nodes. docs/design.md sections 3 to 8.
 #include <array>
 #include <string_view>
 #include <variant>
@@ -19,7 +19,7 @@
     std::uint64_t token = 0;
     std::vector<Member> members;
 };
-struct ProbeFor {
+struct ProbeFor {  // asks the receiver to probe a third node
     std::uint64_t token = 0;
     std::string target;
 };
@@ -28,7 +28,7 @@
     int partition = 0;
     std::uint64_t term = 0;
     Ballot ballot;
-    Record proof;
+    Record proof;  // the decided record of the term before
 };
 struct Promise {
     int partition = 0;
@@ -63,22 +63,22 @@
     int partition = 0;
     Record record;
     Microseconds asked_at = 0;
-    std::optional<bool> without_lease;  // too few answers come back in time to make one
+    std::optional<bool> without_lease;  // the leader gets too few timely answers to hold a lease
 };
 struct LeaseGrant {
     int partition = 0;
     std::uint64_t term = 0;
     Microseconds asked_at = 0;
-    std::optional<bool> withheld;  // an answer that grants nothing
+    std::optional<bool> withheld;  // answered, but nothing is granted
 };
-// groups (design 5)
+// replication in a group (design 5)
 struct Heartbeat {
     int partition = 0;
     Record record;
     Sequence sequence;
-    std::optional<bool> without_lease;  // as above
+    std::optional<bool> without_lease;  // as in LeaseRequest
 };
-struct Append {  // a snapshot, for a follower that does not hold what a change builds on
+struct Append {  // a full snapshot, for a follower that lacks the base of a change
     int partition = 0;
     Record record;
     Copy copy;
@@ -92,14 +92,14 @@
     int partition = 0;
     std::uint64_t term = 0;
     Sequence sequence;
-    bool lacks_base = false;  // the change did not fit: a snapshot is wanted
+    bool lacks_base = false;  // the change could not be applied: a snapshot is needed
 };
-struct CopyOffer {
+struct CopyOffer {  // the sealed copy, for a member of the proposed group
     int partition = 0;
-    Record record;  // the decided one, whose successor is proposed
+    Record record;  // the decided record, whose successor is proposed
     Ballot ballot;
     Copy copy;
-    std::string claims;  // all that the giver holds (design 10.5)
+    std::string claims;  // all that the sender holds (design 10.5)
 };
 struct CopyTaken {
     int partition = 0;
@@ -116,44 +116,44 @@
     Record record;
     CopyChange change;
 };
-// news (design 8)
-// A document as news: whole, or what differs from one that the asker holds.
+// updates of documents (design 8)
+// A new version of a document: whole, or as edits to the version that the requester holds.
 struct NewsCopy {
     Sequence sequence;
-    std::uint64_t digest = 0;  // of the document it makes
+    std::uint64_t digest = 0;  // of the resulting document
     bool whole = true;
-    std::string text;  // if whole
-    TextEdits edits;   // if not
+    std::string text;  // used if whole
+    TextEdits edits;   // used if not whole
 };
 struct NewsAsk {
     int partition = 0;
     std::uint64_t token = 0;
     std::uint64_t term = 0;
     Sequence have;
-    std::uint64_t live_digest = 0;  // of the list it holds
+    std::uint64_t live_digest = 0;  // of the replica list that the requester holds
     Microseconds live_age = 0;
-    bool whole = false;  // a difference did not fit
+    bool whole = false;  // edits could not be applied: the whole document is needed
 };
 struct NewsAnswer {
     int partition = 0;
     std::uint64_t token = 0;
     Record record;
-    bool proven = false;  // a leased leader stood behind this `age` ago
+    bool proven = false;  // a leader with a lease confirmed this `age` ago
     Microseconds age = 0;
-    Sequence sequence;  // what the answerer holds
+    Sequence sequence;  // that the answering node holds
     std::optional<NewsCopy> copy;
     std::uint64_t live_digest = 0;
-    std::string live;  // the replica list, where it differs and is newer
+    std::string live;  // the replica list, sent where it differs and is newer
     Microseconds live_age = 0;
 };
-// operator calls (design 7)
+// calls of the operator API (design 7)
 struct Call {
     int partition = 0;
-    std::string identity;
+    std::string identity;  // of the change, chosen by the caller: makes retries idempotent
     std::string operation;
     std::string if_match;
     std::string body;
-    std::string base;  // the operator's own version that the change builds on
+    std::string base;  // the operator's own version on which the change is based
 };
 struct CallForward {
     std::uint64_t token = 0;
@@ -167,10 +167,10 @@
     std::string body;
     std::string etag;
 };
-// forming anew after the loss of every core disk (design 5.9)
+// fleet recovery after the loss of all core disks (design 5.9)
 struct HeldPartition {
     std::uint64_t term = 0;
-    std::vector<std::string> voters;  // of a record that named a group
+    std::vector<std::string> voters;  // of a decided record with a group
     Sequence sequence;
     std::string document;
 };
@@ -186,14 +186,14 @@
     std::vector<std::string> voters;
     std::vector<HeldPartition> partitions;
 };
-// claims of run-once tickets (design 10.5)
+// claims of run-once requests (design 10.5): the right to send the request with a given key
 enum class ClaimState : int { not_here, granted, seen, full };
 struct ClaimAsk {
     int partition = 0;
     std::uint64_t token = 0;
     std::string key;
     std::string ticket;
-    bool release = false;  // that ticket was shed: it never ran
+    bool release = false;  // the request was shed and never ran
 };
 struct ClaimAnswer {
     int partition = 0;
@@ -204,7 +204,7 @@
 struct ClaimFlight {
     int partition = 0;
     Record record;
-    std::uint64_t life = 0;  // of the leader
+    std::uint64_t life = 0;  // the leader's incarnation
     std::uint64_t number = 0;
     std::string claims;
 };
@@ -214,7 +214,7 @@
     std::uint64_t life = 0;
     std::uint64_t number = 0;
 };
-// granting entry and prefix digests (design 9)
+// load and prefix cache digests for scheduling (design 9)
 struct BurdenDigest {
     std::uint64_t number = 0;
     std::string body;
@@ -235,7 +235,9 @@
      "spare-change",  "naming-ages"});
 static_assert(message_names.size() == std::variant_size_v<Message>);
 
+// A message is a JSON array of its name and its fields.
 auto write_message(Message const& message) -> std::string;
+// Empty where the text is malformed, or a name or field unknown.
 auto read_message(std::string_view text) -> std::optional<Message>;
 
 }  // namespace dockrock
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The fields of each message, for reading and writing. Compiling it takes seconds: only for units that do so.
+// The fields of each message, for serialization. Takes seconds to compile: include it only where messages are
+// serialized.
 #include "base/messages.hpp"
 
 BOOST_HANA_ADAPT_STRUCT(dockrock::Probe, token, members);
--- a/source/base/naming_messages.hpp
+++ b/source/base/naming_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What nodes tell each other of when versions of weights were named. docs/design.md section 11.4.
+// Messages about when versions of weights were announced. docs/design.md section 11.4.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -7,16 +7,16 @@
 
 namespace dockrock {
 
-// An age needs no clock in common: the receiver counts it from when the message came,
-// so what it makes of it is never earlier than what the sender knows.
+// Sent as an age, because nodes share no clock. The receiver subtracts it from the time of
+// receipt, so the resulting time is never earlier than the one that the sender knows.
 struct NamedAge {
     std::int64_t version = 0;
-    std::int64_t age = 0;  // in microseconds, when it was sent
+    std::int64_t age = 0;  // in microseconds, at the time of sending
 };
 using NamedAges = std::map<std::string, std::vector<NamedAge>>;  // by model
 
 struct NamingAges {
-    bool asks = false;  // for the receiver's own account
+    bool asks = false;  // requests the receiver's ages in return
     NamedAges named;
 };
 
--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -8,7 +8,7 @@
 namespace dockrock {
 
 namespace {
-constexpr auto note_numbers = std::size_t{5};  // with the checksum
+constexpr auto note_numbers = std::size_t{5};  // including the checksum
 constexpr auto note_size = note_numbers * sizeof(std::uint64_t);
 constexpr auto mebibyte = Microseconds{1} << 20U;
 }  // namespace
@@ -71,7 +71,7 @@
     return now - waiting_since > patience() + (allowance << std::min(renewals, times.most_doublings));
 }
 
-// Up to the frame that was sent last when the watched one was known to be there, the next is watched.
+// Acknowledges frames up to `number`. If later ones are outstanding, the last sent frame is timed next.
 auto PeerLink::arrived(std::uint64_t number) -> void {
     if (waiting != 0) measure();
     hangs = another_life = false;
@@ -83,9 +83,10 @@
     missed_for = 0;
 }
 
-// What a peer that is well may lack of ours when it is heard is the round trip, whenever it chooses to speak. A
-// frame that waited for its connection tells nothing of the way; nor does one that came after it was given up, as
-// the cut that held it is not the way either: the doubled patience of the next connection measures a slow link.
+// Samples the round-trip time: the greatest age at which the frame was still missing in a frame from the peer. That
+// does not depend on how often a healthy peer sends. Frames sent before the connection was open are no samples, nor
+// are those acknowledged after their timeout, which would measure an outage: a slow link is measured on the next
+// connection, with its doubled timeout.
 auto PeerLink::measure() -> void {
     if (!waiting_stood || missed_for > patience()) return;
     round_trip.add(missed_for);
@@ -96,7 +97,7 @@
     return life != 0 && std::find(former_lives.begin(), former_lives.end(), life) != former_lives.end();
 }
 
-// What is left of a former life may still come after the first words of the next.
+// Switches to another instance of the peer. Frames of a former instance may still come after the first of the next.
 auto PeerLink::take_life(std::uint64_t life) -> void {
     if (life == heard_life) return;
     hangs = another_life = heard_life != 0 && last_number != 0;
@@ -110,8 +111,8 @@
     if (overdue(now)) hangs = true;
 }
 
-// Of the lives between restarts in one cut the words may come in any order: a former life that goes on where the
-// present one is silent is the one that runs.
+// If the peer restarts several times during one outage, frames of its instances may come in any order. A former
+// instance that keeps sending while the current one is silent is the running one.
 auto PeerLink::heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.life_silence;
     if (note.life != heard_life && is_former(note.life) && !silent) return;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What of the frames to a peer has arrived there, as its own frames say. A pure
-// machine: it tells when a connection hangs. docs/design.md section 3.
+// Tracks which frames a peer has received, by the acknowledgements in its own frames, to detect a
+// stalled connection. A pure state machine without I/O. docs/design.md section 3.
 #include <algorithm>
 #include <array>
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace dockrock {
 
-// Goes before each frame: who sends in this life, the frame's number there, and
-// the last frame that was heard from its receiver.
+// Precedes each frame: the sender's process instance, the frame's number within it,
+// and the instance and number of the last frame received from the other side.
 struct LinkNote {
     std::uint64_t life = 0;
     std::uint64_t number = 0;
@@ -21,25 +21,25 @@
 };
 
 auto put_note(LinkNote const& note, std::string_view frame) -> std::string;
-// Takes it off again; nothing where its checksum does not fit.
+// Removes the header from the front of `bytes`; empty where its checksum is wrong.
 auto take_note(std::string_view& bytes) -> std::optional<LinkNote>;
 
 struct LinkTimes {
-    Microseconds patience = 400 * one_millisecond;         // at least, with a frame that is not known to have arrived
-    Microseconds most_patience = 1'600 * one_millisecond;  // on slow links and after doublings
-    Microseconds each_mebibyte = one_second;               // more, for what is on its way with it
-    int most_doublings = 2;                                // of both, while nothing arrives by a connection that stood
-    Microseconds life_silence = one_second;                // of the present life, after which a former one is heard
+    Microseconds patience = 400 * one_millisecond;         // minimum timeout of an unacknowledged frame
+    Microseconds most_patience = 1'600 * one_millisecond;  // maximum timeout, on slow links and after backoff
+    Microseconds each_mebibyte = one_second;               // added per MiB in flight up to that frame
+    int most_doublings = 2;                  // of both, while no frame sent on an open connection is acknowledged
+    Microseconds life_silence = one_second;  // silence of the current instance, after which a former one is accepted
 };
 
-// The smoothed round trip and its deviation, as RFC 6298 computes them.
+// The smoothed round-trip time and its deviation, as in RFC 6298.
 struct RoundTrip {
     Microseconds smoothed = 0;
     Microseconds deviation = 0;
     bool measured = false;
 
     auto add(Microseconds sample) -> void;
-    // Twice the round trip, or more where it varies.
+    // Twice the round-trip time, or more where it varies.
     auto timeout() const -> Microseconds { return smoothed + std::max(smoothed, 4 * deviation); }
 };
 
@@ -47,29 +47,32 @@
     LinkTimes times;
     std::uint64_t last_number = 0;
     Microseconds last_at = 0;
-    std::uint64_t waiting = 0;  // the frame that is watched; 0: all that was sent has arrived
+    std::uint64_t waiting = 0;  // the unacknowledged frame that is timed; 0: all frames are acknowledged
     Microseconds waiting_since = 0;
-    std::size_t waiting_bytes = 0;  // up to that frame, and behind it
-    std::size_t behind_bytes = 0;
-    bool waiting_stood = false;  // it was sent while the connection stood
-    bool last_stood = false;
-    Microseconds missed_for = 0;  // its greatest age when the peer was heard without it, or doubted
+    std::size_t waiting_bytes = 0;  // in flight up to and with that frame
+    std::size_t behind_bytes = 0;   // sent after it
+    bool waiting_stood = false;     // it was sent on an open connection
+    bool last_stood = false;        // the last frame was
+    Microseconds missed_for = 0;    // its age when the peer last failed to acknowledge it or timed out
     RoundTrip round_trip;
-    std::uint64_t heard_life = 0;
-    std::array<std::uint64_t, 4> former_lives{};  // the last ones, so that their late words are known as such
+    std::uint64_t heard_life = 0;                 // the peer's current process instance
+    std::array<std::uint64_t, 4> former_lives{};  // earlier instances, to recognize their late frames
     std::size_t next_former = 0;
-    Microseconds heard_at = 0;  // the present life
+    Microseconds heard_at = 0;  // last frame of the current instance
     std::uint64_t heard_number = 0;
-    int renewals = 0;  // since a frame is known to have arrived that was sent while its connection stood
+    int renewals = 0;  // reconnects since the last acknowledgement of a frame sent on an open connection
     bool hangs = false;
-    bool another_life = false;  // it hangs as its peer was started anew since it was dialled
+    bool another_life = false;  // it hangs because the peer restarted after the connection was opened
 
-    // `stood`: the connection was established when the frame was sent.
+    // A frame was sent. `stood`: the connection was open at that time.
     auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool stood = true) -> void;
+    // A frame with this header came from the peer.
     auto heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void;
-    // A question to it was not answered in time.
+    // The peer did not answer a request in time.
     auto doubted(Microseconds now) -> void;
+    // A new connection was opened.
     auto dialled() -> void;
+    // The timeout of the timed frame, without the allowance for its size.
     auto patience() const -> Microseconds;
     auto overdue(Microseconds now) const -> bool;
 
--- a/source/base/records.hpp
+++ b/source/base/records.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// What the messages and the disk speak of. docs/design.md sections 4 and 5.
+// Types that messages and the disk share. docs/design.md sections 4 and 5.
 #include <algorithm>
 
 #include "base/json_structs.hpp"
 
 namespace dockrock {
 
-struct Sequence {  // version of a partition's copy: only ever rises
+struct Sequence {  // version of a partition's copy; only increases
     std::uint64_t term = 0;
     std::uint64_t number = 0;
     auto operator<=>(Sequence const&) const = default;
@@ -16,10 +16,10 @@
     std::string node;
     auto operator<=>(Ballot const&) const = default;
 };
-struct Record {  // one decision about a partition: who holds it, who votes on the next
+struct Record {  // one consensus decision about a partition: its group, and who votes on the next record
     std::uint64_t term = 0;
     std::string leader;
-    std::vector<std::string> followers;  // with the leader, the group that keeps the copies
+    std::vector<std::string> followers;  // with the leader, the group that replicates the partition
     std::vector<std::string> voters;
     auto operator==(Record const&) const -> bool = default;
     auto has_follower(std::string const& identity) const -> bool {
@@ -27,13 +27,13 @@
     }
     auto has_member(std::string const& identity) const -> bool { return leader == identity || has_follower(identity); }
 };
-struct Outcome {  // what became of a change, kept under the caller's identity
+struct Outcome {  // of a change, kept under the caller's change identity for idempotent retries
     std::string identity;
     Sequence sequence;
     std::uint64_t digest = 0;
     auto operator==(Outcome const&) const -> bool = default;
 };
-struct Copy {
+struct Copy {  // the replicated state of a partition
     Sequence sequence;
     std::string document;
     std::vector<Outcome> outcomes;
@@ -49,8 +49,8 @@
     bool resting = false;
     std::uint64_t incarnation = 0;
     int state = 0;
-    std::optional<bool> never_forms;  // a blank core node that waits for a fleet to join (design 5.7)
-    std::optional<bool> leaving;      // stops politely: others take over its duties, copies and votes (design 5.6)
+    std::optional<bool> never_forms;  // a blank core node that waits to join a fleet and forms none (design 5.7)
+    std::optional<bool> leaving;      // graceful stop: others take over its duties, copies and votes (design 5.6)
 };
 
 inline auto etag_of(Sequence const& sequence) -> std::string {
--- a/source/base/text_difference.cpp
+++ b/source/base/text_difference.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr auto gram = std::size_t{24};                               // texts agree again where so many bytes do
-constexpr auto windows = std::to_array<std::size_t>({512, 16'384});  // looked through after a difference
-constexpr auto run_most = std::size_t{4'096};                        // of bytes that agree, counted
-constexpr auto edits_most = std::size_t{256};                        // then the rest is one edit
-constexpr auto edit_overhead = std::size_t{40};                      // of one edit as JSON
+constexpr auto gram = std::size_t{24};                               // matching bytes that end a difference
+constexpr auto windows = std::to_array<std::size_t>({512, 16'384});  // bytes searched after a difference, in turn
+constexpr auto run_most = std::size_t{4'096};                        // matching bytes counted to compare candidates
+constexpr auto edits_most = std::size_t{256};                        // beyond it the rest becomes one edit
+constexpr auto edit_overhead = std::size_t{40};                      // bytes of one edit as JSON
 constexpr auto digest_prime = std::uint64_t{0x9e3779b97f4a7c15};
 
 auto common_front(std::string_view one, std::string_view other) -> std::size_t {
@@ -29,7 +29,7 @@
     return static_cast<std::size_t>(differs - from.rbegin());
 }
 
-struct Resumption {  // where two texts agree again, counted from the place where they differ
+struct Resumption {  // offsets, from the start of a difference, at which the texts agree again
     std::size_t in_base = 0;
     std::size_t in_fresh = 0;
 };
@@ -40,9 +40,9 @@
     return word * digest_prime;
 }
 
-// Where grams of a text stand; of two under one hash the first is kept.
+// Hash table of the offsets of all grams in a text; on a collision the first one is kept.
 struct GramTable {
-    std::vector<std::uint32_t> places;  // and one, 0: none
+    std::vector<std::uint32_t> places;  // offset + 1; 0: none
     int shift = 0;
 
     explicit GramTable(std::string_view text) {
@@ -60,14 +60,14 @@
     }
 };
 
-// The first bytes of `fresh` that also stand at the same place of `base`.
+// The first gram of `fresh` that is at the same offset in `base`.
 auto find_in_place(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     for (auto place = std::size_t{0}; place + gram <= std::min(base.size(), fresh.size()); ++place)
         if (base.substr(place, gram) == fresh.substr(place, gram)) return Resumption{place, place};
     return std::nullopt;
 }
 
-// The first bytes of `fresh` that also stand anywhere in `base`.
+// The first gram of `fresh` that is anywhere in `base`.
 auto find_moved(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     auto const table = GramTable(base);
     for (auto place = std::size_t{0}; place + gram <= fresh.size(); ++place) {
@@ -78,7 +78,7 @@
     return std::nullopt;
 }
 
-// Of the two the one after which more bytes agree: in a text that repeats itself the nearest may be a wrong one.
+// Chooses the candidate followed by more matching bytes: in repetitive text the nearest match may be a wrong one.
 auto find_resumption(std::string_view base, std::string_view fresh, std::size_t window) -> std::optional<Resumption> {
     auto const near_base = base.substr(0, window);
     auto const near_fresh = fresh.substr(0, window);
@@ -92,7 +92,7 @@
     return agreeing(*in_place) >= agreeing(*moved) ? in_place : moved;
 }
 
-// Looks near first, as most changes are small.
+// Tries the small window first, as most changes are small.
 auto find_resumption_near(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     for (auto const window : windows)
         if (auto const found = find_resumption(base, fresh, window)) return found;
