--- a/source/consensus/answer_checks.cpp
+++ b/source/consensus/answer_checks.cpp
@@ -30,7 +30,7 @@
     return {leads, record.voters.size(), static_cast<std::size_t>(grants)};
 }
 
-// A record is decided once all its members hold, synced, whatever was acknowledged before (I5).
+// A record is decided only after all its members have synced everything acknowledged earlier (I5).
 auto durability_facts(Partition const& partition, Sequence const& covered) -> invariants::DurabilityFacts {
     auto const& record = partition.votes.decided;
     auto const reported = [&](std::string const& follower) {
--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -1,4 +1,4 @@
-// Changes: queued, tried, logged, copied, acknowledged. docs/design.md 5.4 and 7.
+// Changes at the leader: queueing, applying, logging, replicating, acknowledging. docs/design.md 5.4 and 7.
 #include <algorithm>
 
 #include "consensus/answer_checks.hpp"
@@ -10,7 +10,7 @@
 constexpr auto outcomes_kept = std::size_t{1024};
 constexpr auto queue_limit = std::size_t{256};
 
-// Of a change that is wrong by itself no version is told.
+// An error that does not depend on the current version (neither 200 nor 412) carries no ETag.
 auto etag_told(int status, Sequence const& sequence) -> std::string {
     return status == 200 || status == 412 ? etag_of(sequence) : std::string();
 }
@@ -24,7 +24,8 @@
         copy.outcomes.begin(), copy.outcomes.end(), [&](auto const& outcome) { return outcome.identity == identity; });
 }
 
-// Tells a change from another one under the same identity. Without a base it is the one that older copies hold.
+// Detects another change under the same identity. For a call without a base the digest equals the one that older
+// copies hold.
 auto digest_of(Call const& asked) -> std::uint64_t {
     auto const on_base = asked.base.empty() ? std::string() : " on " + asked.base;
     return hash_text(asked.operation + on_base + "\n" + asked.if_match + "\n" + asked.body) >> 1U;
@@ -32,8 +33,8 @@
 }  // namespace
 
 auto Partition::fly(Context& context) -> void {
-    // The leader's own copy is synced first: a leader that restarts can then
-    // never give one sequence to two changes (design 5.4).
+    // The leader syncs its own copy before it sends any: a leader that restarts
+    // can then never assign one sequence to two changes (design 5.4).
     in_flight = true;
     flying = copy;
     flying_change.reset();
@@ -64,7 +65,7 @@
         send_flight(context);
     }
     if (!all_have(flying.sequence)) return;
-    if (!has_lease(context.self, context.now)) return;  // nothing is told without one; a grant that comes settles it
+    if (!has_lease(context.self, context.now)) return;  // no answer without a lease; the next grant calls this again
     committed = flying;
     in_flight = false;
     std::erase_if(waiters, [&](auto const& waiter) {
@@ -92,8 +93,8 @@
 
 auto Partition::take_queued(Context& context) -> void {
     if (queued.empty()) return;
-    // Only in the term's own sequences: in those of the term before, a former leader may
-    // have given the next one to a change that was never acknowledged.
+    // Changes wait for the first copy of the current term: in the sequences of the term before,
+    // a former leader may have assigned the next one to a change that was never acknowledged.
     auto const ready = committed && copy.sequence.term == votes.decided.term && votes.sealed < votes.decided.term &&
         has_lease(context.self, context.now);
     auto before = std::optional<Copy>();
@@ -101,8 +102,8 @@
     queued.clear();
     for (auto& item : pending) {
         auto const reads = item.call.operation == "get" || item.call.operation == "outcome";
-        // What a change came to is told only once this term's first copy is on
-        // all disks: until then a partner may hold a copy in which it lives; nor once it is sealed.
+        // Outcomes of changes are answered only after this term's first copy is synced at all members (before that,
+        // another member's copy may hold the change), and not after the term is sealed.
         auto const own_term =
             committed && committed->sequence.term == votes.decided.term && votes.sealed < votes.decided.term;
         auto const readable =
@@ -119,7 +120,7 @@
     if (!in_flight) fly(context);
 }
 
-// A node that holds the newest document is told so, without the document.
+// Answers 304 without the document where the caller already holds the newest one.
 auto Partition::read_copy(Context& context, Queued const& item) -> void {
     auto const etag = etag_of(committed->sequence);
     auto read = checked_read(*this, context, CallDone{item.origin, item.token, 200, "", etag});
@@ -128,7 +129,7 @@
     context.done.push_back(std::move(read));
 }
 
-// What a change came to, by its identity: acknowledged, under way, or not known.
+// Answers the state of a change by its identity: acknowledged, under way, or not known.
 auto Partition::tell_outcome(Context& context, Queued const& item) -> void {
     auto const& identity = item.call.identity;
     auto const done = find_outcome(copy, identity);
@@ -141,7 +142,7 @@
     context.done.push_back({item.origin, item.token, settled ? 200 : 202, std::move(body), etag_of(done->sequence)});
 }
 
-// The same change again gets the same answer, another one under its identity none.
+// Repeats the answer for a retry of the same change; refuses another change under the same identity.
 auto Partition::repeat_change(Context& context, Queued const& item, Outcome const& done, std::uint64_t digest) -> void {
     if (done.digest != digest) {
         auto body = error_body("this change identity was used for another change");
@@ -155,7 +156,7 @@
     waiters.push_back({item.origin, item.token, done.sequence, 200, std::move(body), context.now});
 }
 
-// Refused only by what is committed: an earlier change may yet come to nothing.
+// A refusal is answered only once the copy that it rests on is committed: an uncommitted change may still be lost.
 auto Partition::refuse_change(Context& context, Queued const& item, int status, std::string body) -> void {
     if (copy.sequence <= committed->sequence) {
         auto etag = etag_told(status, copy.sequence);
@@ -166,7 +167,7 @@
 
 auto Partition::make_change(Queued const& item, std::string document, std::uint64_t digest, Microseconds now) -> void {
     copy.document = std::move(document);
-    // Under the term that decides on it: a sequence of an earlier one may have been given to a change that is lost.
+    // In the current term: a sequence of an earlier term may have been assigned to a change that was lost.
     copy.sequence = Sequence{votes.decided.term, copy.sequence.number + 1};
     copy.outcomes.push_back({item.call.identity, copy.sequence, digest});
     if (copy.outcomes.size() > outcomes_kept) copy.outcomes.erase(copy.outcomes.begin());
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -1,4 +1,4 @@
-// Claims of run-once tickets at the leader and its followers. docs/design.md 10.5.
+// Granting and replicating claims of run-once requests. docs/design.md 10.5.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
@@ -45,7 +45,7 @@
     push_claims(context);
 }
 
-// One save at a time: claims that come meanwhile share the next sync.
+// Only one save is in progress at a time: claims that come in the meantime share the next sync (group commit).
 auto Partition::push_claims(Context& context) -> void {
     if (claims.save_token != 0 || claims.fresh.empty()) return fly_claims(context);
     std::string text;
@@ -78,8 +78,8 @@
     fly_claims(context);
 }
 
-// The leader's disk first, then the followers': whatever an follower holds,
-// the leader holds too, so that a restart never gives one key to two tickets.
+// Claims go to the followers only after they are synced at the leader. A leader that restarts
+// thus holds all that a follower holds, and never grants one key to two requests.
 auto Partition::fly_claims(Context& context) -> void {
     if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.flown.clear();
@@ -161,7 +161,7 @@
     push_claims(context);
 }
 
-// A new record: the group may be new, so its followers are given all there is.
+// A new record may name new followers, so they are sent all claims.
 auto Partition::claims_under_new_record(Context& context) -> void {
     claims.newest_flight = {0, 0};
     claims.flying = false;
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -30,7 +30,8 @@
     order.emplace_back(at, key);
 }
 
-// Time while the node was down does not count: a claim is kept longer, never shorter.
+// Ages do not include the time that the node was down, so a claim may be kept for longer than the retention but not
+// for less.
 auto ClaimTable::take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void {
     for (auto const& line : lines) {
         if (line.age < 0 || line.age > claim_retention) continue;
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The claims of run-once tickets that a partition's group keeps: which ticket may be
-// sent under a caller's identity. docs/design.md section 10.5.
+// The claims of run-once requests, replicated in a partition's group: a key, made from a caller's
+// identity, belongs to the one request that may be sent. docs/design.md section 10.5.
 #include <deque>
 #include <set>
 
@@ -13,12 +13,12 @@
 inline constexpr auto claim_text_limit = std::size_t{64};
 
 struct Claim {
-    std::string ticket;  // "-": given back
+    std::string ticket;  // the request that owns the key; "-": released
     Microseconds at = 0;
     bool synced = false;
 };
 
-// One line each: key, ticket, age in microseconds.
+// A claim as stored and sent: one line with key, owning request and age in microseconds.
 struct ClaimLine {
     std::string key;
     std::string ticket;
@@ -29,23 +29,23 @@
 
 struct ClaimTable {
     std::map<std::string, Claim> held;
-    std::deque<std::pair<Microseconds, std::string>> order;  // as they came, for expiry
+    std::deque<std::pair<Microseconds, std::string>> order;  // in order of arrival, for expiry
     std::uint64_t life = 0;                                  // this node's incarnation
-    std::size_t logged = 0;                                  // lines since the disk last got the whole
+    std::size_t logged = 0;  // claim lines on disk, including those of the last snapshot
     // leader
-    std::set<std::string> fresh;   // not yet given to the disk
-    std::set<std::string> saving;  // given, not yet synced
+    std::set<std::string> fresh;   // keys not yet given to the disk
+    std::set<std::string> saving;  // keys being written to the disk
     std::uint64_t save_token = 0;
-    std::set<std::string> to_fly;  // synced here, not yet flown
-    std::set<std::string> flown;   // in the flight under way
-    std::set<std::string> landed;  // followers that hold it
+    std::set<std::string> to_fly;  // keys synced here, not yet sent to followers
+    std::set<std::string> flown;   // keys in the batch being replicated
+    std::set<std::string> landed;  // followers that hold that batch
     bool flying = false;
     bool whole_flies = false;
-    bool whole_needed = true;  // an follower may lack some
+    bool whole_needed = true;  // a follower may lack earlier claims: the next batch holds all
     std::uint64_t flight_number = 0;
     Microseconds flown_at = 0;
-    std::string flight;
-    struct Waiter {
+    std::string flight;  // the batch, as claim lines
+    struct Waiter {      // a request for a claim that is not replicated yet
         std::string origin;
         std::uint64_t token = 0;
         std::string key;
@@ -54,16 +54,16 @@
     };
     std::vector<Waiter> waiters;
     // follower
-    std::pair<std::uint64_t, std::uint64_t> newest_flight{0, 0};  // life, number
+    std::pair<std::uint64_t, std::uint64_t> newest_flight{0, 0};  // leader's incarnation and batch number
 
     auto load(std::string_view text, Microseconds now) -> void;
     auto take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void;
     auto put(std::string const& key, std::string ticket, Microseconds at, bool synced) -> void;
     auto expire(Microseconds now) -> void;
-    auto whole(Microseconds now, bool only_synced) const -> std::string;
-    auto settled(std::string const& key) const -> bool;
-    auto drop_fresh() -> void;  // what no disk has: never acknowledged, so it may go
-    auto stand_back() -> void;  // no longer the leader
+    auto whole(Microseconds now, bool only_synced) const -> std::string;  // all claims, as lines
+    auto settled(std::string const& key) const -> bool;                   // synced here and at all followers
+    auto drop_fresh() -> void;  // claims on no disk: they were never acknowledged, so they may be dropped
+    auto stand_back() -> void;  // on losing leadership
 };
 
 }  // namespace dockrock
--- a/source/consensus/error_body.hpp
+++ b/source/consensus/error_body.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The body of an answer that tells what went wrong. docs/interfaces.md.
+// The JSON body of an error response. docs/interfaces.md.
 #include "base/json_structs.hpp"
 
 namespace dockrock {
--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -1,5 +1,5 @@
-// Who is of a partition's group: the leader and as many followers as losses are
-// to be borne; and who votes. docs/design.md 5.2, 5.5.
+// Choice of a partition's group (the leader and as many followers as machine losses
+// must be tolerated) and of its voters. docs/design.md 5.2, 5.5.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
@@ -39,9 +39,9 @@
     return silent;
 }
 
-// Those of `from` that are not lost stay; living core nodes take the places of
-// the others, first from areas where no member is. With too few living, lost
-// ones keep their places: the group is never smaller, a change waits for them.
+// Keeps the followers of `from` that are not lost and replaces the others by live core nodes,
+// preferably in areas without a member. With too few live nodes, lost followers stay: the group
+// does not shrink, and changes wait for them.
 auto Partition::followers_for(Context& context, Record const& from, std::set<std::string> const& lost) const
     -> std::vector<std::string> {
     auto const cores = context.cores();
@@ -76,8 +76,8 @@
     return chosen.followers;
 }
 
-// A core node whose disk came back empty has a new identity; it votes only
-// once a majority has decided a record that names it (design 5.5).
+// Replaces dead and leaving voters by new core nodes, and adds some up to the core count. A core node that
+// lost its disk has a new identity; it votes only after a majority has decided a record that names it (design 5.5).
 auto Partition::renewed_voters(Context& context) const -> std::vector<std::string> {
     auto voters = votes.decided.voters;
     std::vector<std::string> fresh;
@@ -97,8 +97,8 @@
     return voters;
 }
 
-// A polite stop: an follower becomes leader by an ordinary decision. It holds
-// all that was acknowledged; all of the new group get the sealed copy (design 5.6).
+// Transfers leadership before a graceful stop: proposes a follower as leader. It holds all
+// acknowledged changes; every member of the new group gets the sealed copy (design 5.6).
 auto Partition::hand_over(Context& context) -> bool {
     if (!is_leader(context.self) || !healthy) return false;
     if (proposal || context.now - last_try < times.try_interval) return true;
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -1,4 +1,4 @@
-// The group: leader and followers, changes and their outcomes. docs/design.md 5.4 to 5.6.
+// Periodic work and replication at the leader and its followers. docs/design.md 5.4 to 5.6.
 #include <algorithm>
 
 #include "consensus/error_body.hpp"
@@ -8,11 +8,11 @@
 
 namespace {
 constexpr Microseconds waiter_limit = 3 * one_second;
-constexpr auto try_spread = std::uint64_t{60'000};  // microseconds, drawn, so that ballots do not race
+constexpr auto try_spread = std::uint64_t{60'000};  // microseconds of random jitter, so that ballots do not compete
 constexpr auto outcome_unknown = std::string_view("outcome not known; ask again under the same change identity");
 }  // namespace
 
-// Those who wait for changes of which nothing is known any more.
+// Answers 504 to all callers that wait for a commit.
 auto Partition::tell_outcomes_unknown(Context& context) -> void {
     for (auto const& waiter : waiters)
         context.done.push_back({waiter.origin, waiter.token, 504, error_body(outcome_unknown), ""});
@@ -50,7 +50,7 @@
 
 auto Partition::tick(Context& context) -> void {
     if (last_tick != 0 && context.now - last_tick > times.frozen_gap) {
-        leader_heard = context.now;  // a frozen node distrusts its own timers
+        leader_heard = context.now;  // after a process pause, its own timers say nothing about other nodes
         for (auto& [identity, follower] : progress) follower.heard = context.now;
     }
     last_tick = context.now;
@@ -77,8 +77,8 @@
     if (context.now - proposal->sent > times.resend_interval) send_proposal(context);
 }
 
-// A leader that could have no lease for as long as a grant lasts says so, for its voters and followers to turn
-// to another; once answers enough come back in time it is granted one again.
+// A leader that has had no lease for the duration of a grant reports it, so that voters and followers can turn to
+// another; once enough answers arrive in time, it asks for grants again.
 auto Partition::ask_for_lease(Context& context) -> void {
     last_ask = context.now;
     auto const hopeful = leased_lately(context.now) || lease_by(heard) > context.now;
@@ -89,7 +89,7 @@
         context.sends.push_back({follower, Heartbeat{index, votes.decided, copy.sequence, without}});
 }
 
-// The first copy of a term: a new sequence on top of what was taken over, until it is committed.
+// Replicates the first copy of the term, until it is committed: the document taken over, under a new sequence.
 auto Partition::open_term(Context& context) -> void {
     if (copy.sequence.term < votes.decided.term) {
         auto const fresh = Sequence{votes.decided.term, copy.sequence.number + 1};
@@ -109,7 +109,7 @@
     settle(context);
 }
 
-// A new term where a member is lost, where more may follow, where other voters are to decide, or where
+// Proposes a new term where a member is lost, the term is sealed, the group can grow, the voters must change, or
 // this leader could get no lease.
 auto Partition::renew_group(Context& context, bool leased) -> void {
     if (proposal) return;
@@ -148,8 +148,8 @@
     renew_group(context, leased);
 }
 
-// Any follower may take over. Those named earlier go first, so that ballots
-// do not race; one that does not get there holds the others up for a time only.
+// Any follower may take over. They try in the order of the record, so that ballots do not
+// compete; a follower that does not succeed delays the later ones only for a limited time.
 auto Partition::follower_tick(Context& context) -> void {
     if (proposal) return;
     auto const& followers = votes.decided.followers;
@@ -183,8 +183,8 @@
     learn(context, message.record);
     if (votes.decided != message.record || from != votes.decided.leader || !healthy || disk_late(context.now)) return;
     if (!message.without_lease.value_or(false)) leader_heard = context.now;
-    // A sealed follower can acknowledge nothing more: silent, so that the
-    // leader decides on a new group.
+    // A follower that sealed the term can acknowledge nothing more in it. It stays
+    // silent so that the leader proposes a new group.
     if (votes.decided.has_follower(context.self) && votes.sealed >= votes.decided.term) return;
     context.sends.push_back({from, Appended{index, votes.decided.term, synced}});
 }
@@ -194,7 +194,7 @@
     return follows && healthy && votes.sealed < record.term;
 }
 
-// A change that does not fit is not taken: the leader is told and sends the snapshot.
+// If the change does not apply to the copy here, the leader is asked for a snapshot.
 auto Partition::on(Context& context, std::string const& from, AppendChange const& message) -> void {
     learn(context, message.record);
     if (!takes_appends(from, context.self, message.record)) return;
@@ -202,7 +202,7 @@
     auto const& change = message.change;
     auto const reply = IdentifiedMessage{from, Appended{index, votes.decided.term, change.sequence}};
     if (change.sequence <= synced) return context.sends.push_back(reply);
-    if (change.sequence <= copy.sequence) return;  // being synced
+    if (change.sequence <= copy.sequence) return;  // applied, its sync is in progress
     if (!apply_change(copy, change))
         return context.sends.push_back({from, Appended{index, votes.decided.term, synced, true}});
     save_change(context, change, {reply});
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One partition of the control state on one node: voter, member of its group, leader.
-// docs/design.md section 5.
+// One partition of the replicated control state on one node, which may be a voter, a follower
+// in its group or the leader. A pure state machine: output goes into the Context. docs/design.md section 5.
 #include <functional>
 #include <set>
 
@@ -18,20 +18,20 @@
     Microseconds proposal_limit = 1'500 * one_millisecond;
     Microseconds follower_timeout = 1'000 * one_millisecond;
     Microseconds resend_interval = 400 * one_millisecond;
-    Microseconds copy_patience = 200 * one_millisecond;     // a silent partner is passed over
-    Microseconds rival_patience = 2'000 * one_millisecond;  // an earlier follower goes first
-    Microseconds silent_memory = 5 * one_second;            // a partner that was passed over is not asked first again
+    Microseconds copy_patience = 200 * one_millisecond;     // before a silent member of a new group is replaced
+    Microseconds rival_patience = 2'000 * one_millisecond;  // wait for a follower that is earlier in the record
+    Microseconds silent_memory = 5 * one_second;            // a replaced member is not preferred for this long
     Microseconds disk_limit = 600 * one_millisecond;
     Microseconds spare_interval = 2 * one_second;
-    Microseconds frozen_gap = 400 * one_millisecond;
+    Microseconds frozen_gap = 400 * one_millisecond;  // between ticks; a longer one means that the process was paused
 };
 
-inline constexpr Microseconds queued_limit = 2'500 * one_millisecond;  // a call waits no longer for its turn
+inline constexpr Microseconds queued_limit = 2'500 * one_millisecond;  // maximum wait of a call in the queue
 
-// Status of a read whose asker holds the newest document, as it said by `Call::if_match`.
+// Status of a read whose caller already holds the newest document, by `Call::if_match`.
 inline constexpr auto not_modified = 304;
 
-struct CallDone {
+struct CallDone {  // the answer to a call
     std::string origin;
     std::uint64_t token = 0;
     int status = 0;
@@ -39,20 +39,21 @@
     std::string etag;
 };
 
+// Input and output of one step of the state machine.
 struct Context {
     Microseconds now = 0;
     std::string const& self;
     Random& random;
-    std::function<std::vector<Member>()> cores;     // core members held alive that stay (a hint)
-    std::function<bool(std::string const&)> alive;  // a hint too
+    std::function<std::vector<Member>()> cores;     // core members believed alive and not leaving (a hint)
+    std::function<bool(std::string const&)> alive;  // a hint, too
     std::vector<IdentifiedMessage> sends;
     std::vector<Save> saves;
     std::vector<CallDone> done;
     std::vector<std::pair<std::string, ClaimAnswer>> claim_answers;                              // by address
-    std::function<bool(std::string const&)> leaving = [](std::string const&) { return false; };  // stops politely
+    std::function<bool(std::string const&)> leaving = [](std::string const&) { return false; };  // stops gracefully
 };
 
-// The result of trying a change on a document; status 200 changes it.
+// The result of applying a change to a document; only status 200 has a new document.
 struct ChangeResult {
     int status = 0;
     std::string body;
@@ -62,19 +63,19 @@
 
 struct Partition {
     int index = 0;
-    std::size_t core_count = 4;  // 0: not told, then the first voters' number stays
-    std::size_t machines_lost = 1;
+    std::size_t core_count = 4;     // 0: not configured; the number of voters then stays as it is
+    std::size_t machines_lost = 1;  // simultaneous losses to tolerate
     PartitionTimes times;
     ApplyChange apply;
     Votes votes;
-    Copy copy;                       // newest held, may be uncommitted
-    Sequence synced;                 // of `copy`, what is on the disk
-    std::optional<Sequence> logged;  // of the copy last given to the disk: a change is logged on top of that alone
-    std::optional<CopyChange> last_change;  // that made `copy`
-    std::optional<Copy> committed;          // only on the leader, once proven
+    Copy copy;                              // newest on this node, may be uncommitted
+    Sequence synced;                        // newest sequence synced to disk
+    std::optional<Sequence> logged;         // last given to the disk: a change with another base is saved as a whole
+    std::optional<CopyChange> last_change;  // that produced `copy`
+    std::optional<Copy> committed;          // only on the leader, once all members are known to hold it
     ClaimTable claims;
-    bool healthy = true;         // the last write to the disk held
-    Microseconds vote_from = 0;  // a restarted voter waits out one full grant
+    bool healthy = true;         // the last write to the disk succeeded
+    Microseconds vote_from = 0;  // a restarted voter does not vote for one full grant duration
     Microseconds last_tick = 0;
     std::map<std::uint64_t, std::pair<Microseconds, Save>> saving;
     // voter
@@ -85,24 +86,24 @@
     std::map<std::string, Microseconds> heard;   // voter -> asked_at of its newest answer, granted or not
     Microseconds last_ask = 0;
     Microseconds leader_since = 0;
-    bool in_flight = false;
-    bool sent_flight = false;
+    bool in_flight = false;    // a copy is being replicated
+    bool sent_flight = false;  // it was sent to the followers, which happens after it is synced here
     Copy flying;
-    std::optional<CopyChange> flying_change;  // on top of what was committed before; else the snapshot is sent
+    std::optional<CopyChange> flying_change;  // from the committed copy; without it the snapshot is sent
     Microseconds flown_at = 0;
     struct FollowerProgress {
         Microseconds heard = 0;
-        Sequence has;
-        bool lacks_base = false;  // the change did not fit what it holds
+        Sequence has;             // newest sequence that it reported as synced
+        bool lacks_base = false;  // the change could not be applied to its copy
     };
     std::map<std::string, FollowerProgress> progress;  // the followers of the decided record
     Microseconds last_spare = 0;
-    std::optional<Copy> offered;               // to spares: what was committed at the last sweep
-    std::optional<CopyChange> offered_change;  // on top of what was offered before
-    struct Waiter {
+    std::optional<Copy> offered;               // to spares: the committed copy at the last announcement
+    std::optional<CopyChange> offered_change;  // from the copy offered before
+    struct Waiter {                            // an answer that waits for a commit
         std::string origin;
         std::uint64_t token = 0;
-        Sequence sequence;  // told once this is committed
+        Sequence sequence;  // answered once this is committed
         int status = 200;
         std::string body;
         Microseconds since = 0;
@@ -118,45 +119,45 @@
     // follower
     Microseconds leader_heard = 0;
     Microseconds last_try = 0;
-    Microseconds rival_tried = 0;  // a follower before this one asked for votes
+    Microseconds rival_tried = 0;  // when a follower earlier in the record last asked for votes
     // proposer
     struct Proposal {
         enum class Stage : int { preparing, copying, accepting };
         Stage stage = Stage::preparing;
         Ballot ballot;
-        Record wanted;
-        Record value;
+        Record wanted;  // proposed unless a promise carries an accepted record
+        Record value;   // the record being proposed
         std::set<std::string> promises;
         std::set<std::string> accepts;
         std::set<std::string> refusals;
-        std::uint64_t seal_token = 0;  // the save that seals the term
+        std::uint64_t seal_token = 0;  // of the save that seals the term
         bool seal_synced = false;
-        std::set<std::string> taken;        // who holds the sealed copy
-        std::set<std::string> passed_over;  // who did not take it in time
+        std::set<std::string> taken;        // members that hold the sealed copy
+        std::set<std::string> passed_over;  // members that did not take it in time
         bool copied = false;                // all members of `value` hold it
         Microseconds copying_since = 0;
-        Ballot best;
-        std::optional<Record> found;
+        Ballot best;                  // highest ballot of an accepted record among the promises,
+        std::optional<Record> found;  // and that record
         Microseconds started = 0;
         Microseconds sent = 0;
     };
     std::optional<Proposal> proposal;
-    std::map<std::string, Microseconds> silent_since;  // partners that did not take a copy in time
+    std::map<std::string, Microseconds> silent_since;  // members that did not take a copy in time
     std::uint64_t highest_round = 0;
     auto is_leader(std::string const& self) const -> bool {
         return votes.decided.term > 0 && votes.decided.leader == self;
     }
     auto all_have(Sequence const& sequence) const -> bool;
-    // Of a group: losses borne at once, and one, but no more than a majority of the voters (design 5).
+    // Size of a group: the losses to tolerate plus one, but at most a majority of the voters (design 5).
     auto copies() const -> std::size_t;
-    auto follow(Microseconds now) -> void;  // counts anew what the followers were heard to have
+    auto follow(Microseconds now) -> void;  // resets the progress of the followers
     auto lease_until(std::string const& self) const -> Microseconds;
     auto has_lease(std::string const& self, Microseconds now) const -> bool;
 
     auto tick(Context& context) -> void;
-    auto saved(Context& context, std::uint64_t token, bool ok) -> void;
+    auto saved(Context& context, std::uint64_t token, bool ok) -> void;  // a save completed
     auto propose(Context& context, Record wanted) -> void;
-    auto hand_over(Context& context) -> bool;  // true while there is something to hand over
+    auto hand_over(Context& context) -> bool;  // true while leadership is still to be handed over
     auto call(Context& context, std::string const& origin, std::uint64_t token, Call const& asked) -> void;
 
     auto on(Context&, std::string const& from, Prepare const&) -> void;
@@ -213,7 +214,8 @@
     auto takes_appends(std::string const& from, std::string const& self, Record const& record) const -> bool;
     auto settle(Context& context) -> void;
     auto take_queued(Context& context) -> void;
-    auto change(Context& context, Queued const& item, std::optional<Copy>& before) -> void;  // `before` it was changed
+    // Keeps in `before` the copy as it was before the first change.
+    auto change(Context& context, Queued const& item, std::optional<Copy>& before) -> void;
     auto read_copy(Context& context, Queued const& item) -> void;
     auto tell_outcome(Context& context, Queued const& item) -> void;
     auto repeat_change(Context& context, Queued const& item, Outcome const& done, std::uint64_t digest) -> void;
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -1,4 +1,4 @@
-// Proposing the next record of a partition. docs/design.md 5.2.
+// Proposing the next record of a partition, by Paxos over its voters. docs/design.md 5.2.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
@@ -24,7 +24,7 @@
     send_proposal(context);
 }
 
-// To all who have not answered yet; again where a message or answer is lost.
+// Sends the message of the current stage to all who have not answered it; repeated in case of loss.
 auto Partition::send_proposal(Context& context) -> void {
     proposal->sent = context.now;
     auto const term = votes.decided.term + 1;
@@ -60,9 +60,8 @@
     }
 }
 
-// The old term is sealed on disk, and all members of the successor hold the
-// sealed copy, before any acceptance: nothing can be acknowledged that the new
-// group does not hold.
+// Before any voter is asked to accept, the old term is sealed on disk and all members of
+// the new group hold the sealed copy: nothing can be acknowledged that the new group lacks.
 auto Partition::begin_copying(Context& context) -> void {
     if (votes.decided.term == 0) return begin_accepting(context);
     proposal->stage = Proposal::Stage::copying;
@@ -70,15 +69,15 @@
     votes.sealed = std::max(votes.sealed, votes.decided.term);
     claims.drop_fresh();
     proposal->seal_token = save(context, true, {});
-    send_proposal(context);  // the copy travels while the seal is synced; acceptances wait for both
+    send_proposal(context);  // the copy is sent while the seal is synced; accepting waits for both
     copies_taken(context);
 }
 
 auto Partition::on(Context& context, std::string const& from, CopyOffer const& message) -> void {
     learn(context, message.record);
     if (!healthy || votes.decided != message.record) return;
-    // Of several proposers the highest ballot's copy stays: a late offer of a lower one would undo what a decided
-    // record rests on (design 5.2). So the offer is promised to as well, on disk, by the same save.
+    // Among several proposers the copy of the highest ballot is kept: a late offer of a lower one would replace the
+    // copy that a decided record relies on (design 5.2). So an offer also counts as a promise, in the same save.
     auto const least = proposal ? std::max(votes.promised, proposal->ballot) : votes.promised;
     auto const term = votes.decided.term;
     if (message.ballot < least) {
@@ -89,7 +88,7 @@
     votes.sealed = std::max(votes.sealed, term);
     if (proposal && proposal->ballot.node != from) proposal.reset();
     copy = message.copy;
-    tell_outcomes_unknown(context);  // a leader's own changes may not be in it
+    tell_outcomes_unknown(context);  // this node's own changes as leader may not be in it
     claims.drop_fresh();
     claims.take(read_claims(message.claims), context.now, true);
     save(context, true, {{from, CopyTaken{index, term, message.ballot}}});
@@ -114,9 +113,8 @@
     begin_accepting(context);
 }
 
-// Nothing was asked for acceptance yet, so a partner that stays silent may
-// still be exchanged for another under the same ballot; one that answers late
-// comes before any that would have to be asked.
+// No voter was asked to accept yet, so a member that stays silent may still be replaced under
+// the same ballot. Members that answered, even late, are preferred to ones that must be asked.
 auto Partition::pass_over(Context& context) -> void {
     proposal->copying_since = context.now;
     for (auto const& member : proposal->value.followers) proposal->passed_over.insert(member);
@@ -148,7 +146,7 @@
     for (auto const& member : members_of(record)) told.insert(member);
     for (auto const& member : members_of(votes.decided)) told.insert(member);
     learn(context, record);
-    if (all_hold_it) {  // committed as it stands: proofs need not wait for the new term's first flight
+    if (all_hold_it) {  // committed already: freshness proofs need not wait for the new term's first replication
         committed = copy;
         for (auto& [identity, follower] : progress) follower.has = copy.sequence;
         claims.whole_needed = false;
--- a/source/consensus/saved_partition.cpp
+++ b/source/consensus/saved_partition.cpp
@@ -15,7 +15,7 @@
     return fresh;
 }
 
-// Where no copy was saved before, a change builds on the empty one.
+// Where no copy was saved before, a change applies to an empty copy.
 auto take_copy(SavedPartition& into, SavedPartition const& saved) -> bool {
     if (saved.copy) into.copy = saved.copy;
     if (!saved.change) return true;
--- a/source/consensus/spares.cpp
+++ b/source/consensus/spares.cpp
@@ -1,10 +1,10 @@
-// Copies at core nodes outside the group: never authority, but near at hand for a
-// new member. docs/design.md 5.8.
+// Spare copies at core nodes outside the group: never authoritative, but they let a node
+// become a member quickly. docs/design.md 5.8.
 #include "consensus/partition.hpp"
 
 namespace dockrock {
 
-// All other core nodes are told what is committed; whoever holds another copy answers and gets it.
+// Announces the committed sequence to the core nodes outside the group; those that hold another one are sent the copy.
 auto Partition::sweep_spares(Context& context) -> void {
     last_spare = context.now;
     if (!offered || offered->sequence != committed->sequence) {
@@ -24,7 +24,7 @@
     else context.sends.push_back({spare, SpareOffer{index, votes.decided, *offered}});
 }
 
-// Not by a member, nor where the copy that it took for the next term would be undone.
+// False for a member of the group, and for a sealed node: it may hold a copy for the next term, which must stay.
 auto Partition::takes_offers(std::string const& from, std::string const& self, Record const& record) const -> bool {
     auto const outside = votes.decided == record && from == record.leader && !record.has_follower(self);
     return outside && healthy && votes.sealed < record.term;
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -1,4 +1,4 @@
-// Voting on who holds a partition, and granting its lease. docs/design.md 5.1 to 5.3.
+// Voting on a partition's next record, and granting the leader's lease. docs/design.md 5.1 to 5.3.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
@@ -11,7 +11,7 @@
     return give_to_disk(context, std::move(state), std::move(after));
 }
 
-// Where the disk was last given another copy than the change builds on, the whole one is written.
+// Writes the whole copy where the one last given to the disk is not the base of the change.
 auto Partition::save_change(Context& context, std::optional<CopyChange> change, std::vector<IdentifiedMessage> after)
     -> std::uint64_t {
     if (!change || change->base != logged) return save(context, true, std::move(after));
@@ -41,11 +41,11 @@
 auto Partition::saved(Context& context, std::uint64_t token, bool ok) -> void {
     healthy = ok;
     auto const found = saving.find(token);
-    // A failed save stays: it is reported again once all was written anew and synced (design 6).
+    // A failed save stays pending: it is reported again after everything was rewritten and synced (design 6).
     if (!ok || found == saving.end()) return;
     auto kept = std::move(found->second.second);
     saving.erase(found);
-    if (kept.copy_sequence) synced = *kept.copy_sequence;  // the disk answers in order
+    if (kept.copy_sequence) synced = *kept.copy_sequence;  // saves complete in order
     for (auto& item : kept.after) context.sends.push_back(std::move(item));
     settle(context);
     claims_saved(context, token);
@@ -144,8 +144,8 @@
     learn(context, message.record);
 }
 
-// A voter that accepted another record for the next term grants no more: so a
-// decided successor and a live lease exclude each other (design 5.3).
+// A voter that accepted a record for the next term grants no more leases: so a decided
+// successor and a valid lease exclude each other (design 5.3).
 auto Partition::on(Context& context, std::string const& from, LeaseRequest const& message) -> void {
     learn(context, message.record);
     if (votes.decided.term > message.record.term) {
@@ -154,7 +154,7 @@
     }
     if (votes.decided != message.record || from != votes.decided.leader || !healthy) return;
     if (votes.accepted || !contains(votes.decided.voters, context.self)) return;
-    if (message.without_lease.value_or(false)) {  // a grant would only hold up a successor (design 5.3)
+    if (message.without_lease.value_or(false)) {  // a grant would only delay a successor (design 5.3)
         context.sends.push_back({from, LeaseGrant{index, message.record.term, message.asked_at, true}});
         return;
     }
@@ -168,7 +168,7 @@
     auto& answered = heard[from];
     answered = std::max(answered, message.asked_at);
     if (message.withheld.value_or(false)) {
-        if (message.asked_at == last_ask) last_ask = 0;  // heard in time: asked again at once
+        if (message.asked_at == last_ask) last_ask = 0;  // answered in time: ask again at once
         return;
     }
     auto& newest = grants[from];
@@ -180,7 +180,7 @@
     return is_leader(self) ? lease_by(grants) : 0;
 }
 
-// How long a lease lasts that rests on answers to questions asked at these times.
+// The end of a lease that is based on answers to requests sent at these times; 0 where there are too few.
 auto Partition::lease_by(std::map<std::string, Microseconds> const& answers) const -> Microseconds {
     std::vector<Microseconds> asked;
     for (auto const& voter : votes.decided.voters)
