--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -42,7 +42,7 @@
     auto const found = known.find(identity);
     if (found == known.end()) return;
     auto& entry = found->second;
-    if (entry.member.state == state_suspect) {  // our own ears outrank a rumour of suspicion
+    if (entry.member.state == state_suspect) {  // direct contact overrides gossiped suspicion
         entry.member.state = state_alive;
         entry.changed_at = now;
     }
@@ -64,8 +64,7 @@
         entry = KnownMember{told, now, 0};
         remembered_addresses[told.control_address] = told.area;
     }
-    // Whoever knows a fleet goes on knowing it: the word counts also where
-    // nothing else about that node is newer.
+    // A node that knows a fleet goes on knowing it: accepted even where the report is not newer otherwise.
     if (told.knows_fleet && !entry.member.knows_fleet) {
         entry.member.knows_fleet = true;
         entry.times_told = 0;
@@ -75,7 +74,7 @@
         entry.times_told = 0;
     }
     if (!newer || told.state != state_alive) return;
-    for (auto& [identity, other] : known) {  // a node that came back under a new identity
+    for (auto& [identity, other] : known) {  // the same node under a former identity is dead
         if (identity == told.identity || other.member.control_address != told.control_address) continue;
         if (other.member.state == state_dead || other.member.incarnation > told.incarnation) continue;
         other.member.state = state_dead;
@@ -129,8 +128,8 @@
     }
     auto const found = pending.find(answer.token);
     if (found == pending.end()) return;
-    // Another node answers at that address: whoever was probed is gone, whatever
-    // the numbers of its lives say (a lost disk starts them anew).
+    // Another node answers at that address: the probed one is gone, whatever the
+    // incarnation numbers say (they start again after the loss of a disk).
     auto const probed = known.find(found->second.identity);
     auto const* answerer = find(from);
     if (probed != known.end() && answerer != nullptr && probed->first != from &&
--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Who is there: probes to a few others in turn, second opinions through third
-// parties, suspicion before removal. A hint only. docs/design.md section 4.
+// Gossip-based membership and failure detection after SWIM: probes to members in turn, indirect
+// probes through other members, suspicion before removal. Only a hint. docs/design.md section 4.
 #include <set>
 
 #include "base/messages.hpp"
@@ -15,18 +15,18 @@
 
 struct MembershipTimes {
     Microseconds probe_interval = 300 * one_millisecond;
-    Microseconds probe_limit = 250 * one_millisecond;
-    Microseconds suspicion_limit = 1'500 * one_millisecond;
-    Microseconds forget_limit = 60 * one_second;
-    Microseconds frozen_gap = 900 * one_millisecond;
+    Microseconds probe_limit = 250 * one_millisecond;        // without an answer, before indirect probes
+    Microseconds suspicion_limit = 1'500 * one_millisecond;  // from suspect to dead
+    Microseconds forget_limit = 60 * one_second;             // from dead to removed
+    Microseconds frozen_gap = 900 * one_millisecond;  // between ticks; a longer one means that the process was paused
 };
 
-// As messages carry them.
+// The values of Member::state in messages.
 inline constexpr auto state_alive = static_cast<int>(MemberState::alive);
 inline constexpr auto state_suspect = static_cast<int>(MemberState::suspect);
 inline constexpr auto state_dead = static_cast<int>(MemberState::dead);
 
-// How many other members are told of in one message.
+// The number of other members gossiped about in one message.
 inline constexpr auto rumours_to_members = std::size_t{6};
 inline constexpr auto rumours_to_strangers = std::size_t{4};
 
@@ -54,7 +54,7 @@
         std::string address;
         Microseconds sent_at = 0;
     };
-    std::map<std::uint64_t, Relayed> relayed;  // probes made for others
+    std::map<std::uint64_t, Relayed> relayed;  // probes made for other members, by token
     std::uint64_t next_token = 1;
     Microseconds last_tick = 0;
     Microseconds last_probe = 0;
@@ -73,7 +73,7 @@
     auto address_of(std::string const& identity) const -> std::string;
     auto find(std::string const& identity) const -> Member const*;
     auto alive_members(bool core_only) const -> std::vector<Member>;
-    auto alive_count() const -> std::size_t;  // with this node
+    auto alive_count() const -> std::size_t;  // including this node
     auto leaving(std::string const& identity) const -> bool;
 
    private:
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -1,4 +1,4 @@
-// What falls due: probes in turn, second opinions, suspicion and removal. docs/design.md section 4.
+// Periodic work: direct and indirect probes, suspicion and removal. docs/design.md section 4.
 #include "membership/membership.hpp"
 
 namespace dockrock {
@@ -54,7 +54,7 @@
     probe_next(now, random, out);
 }
 
-// This node was frozen: its own timers accuse nobody (design 4).
+// After a pause of this process, expired timers say nothing about other nodes (design 4).
 auto Membership::forgive_after_freeze(Microseconds now) -> void {
     pending.clear();
     relayed.clear();
@@ -62,7 +62,7 @@
         if (entry.member.state == state_suspect) entry.changed_at = now;
 }
 
-// Suspects die in time, and the dead are forgotten.
+// Declares members dead that were suspect for too long, and removes dead ones after a while.
 auto Membership::age_members(Microseconds now) -> void {
     for (auto place = known.begin(); place != known.end();) {
         auto& entry = place->second;
@@ -76,7 +76,7 @@
     }
 }
 
-// Seeds are first contacts only; the addresses of all that were met are tried as well.
+// Probes seeds and addresses of nodes known earlier that no live member has: for the first contact, and to rejoin.
 auto Membership::contact_addresses(Microseconds now, Random& random, AddressedMessages& out) -> void {
     if (now - last_seed <= (known.empty() ? lonely_contact_interval : contact_interval)) return;
     last_seed = now;
@@ -90,7 +90,7 @@
             out.push_back({address, Probe{0, rumours(rumours_to_strangers)}});
 }
 
-// One member in turn, all of them in a random order before any comes again.
+// Probes one member at a time, round-robin in a random order.
 auto Membership::probe_next(Microseconds now, Random& random, AddressedMessages& out) -> void {
     if (now - last_probe < times.probe_interval) return;
     last_probe = now;
