--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -60,15 +60,15 @@
     missed_for = 0;
 }
 
-auto PeerLink::patience() const -> Microseconds {
-    auto const measured = std::max(times.patience, round_trip.timeout());
-    return std::min(measured << std::min(renewals, times.most_doublings), times.most_patience);
+auto PeerLink::frame_timeout() const -> Microseconds {
+    auto const measured = std::max(times.min_timeout, round_trip.timeout());
+    return std::min(measured << std::min(renewals, times.max_doublings), times.max_timeout);
 }
 
 auto PeerLink::overdue(Microseconds now) const -> bool {
     if (waiting == 0) return false;
-    auto const allowance = static_cast<Microseconds>(waiting_bytes) * times.each_mebibyte / mebibyte;
-    return now - waiting_since > patience() + (allowance << std::min(renewals, times.most_doublings));
+    auto const allowance = static_cast<Microseconds>(waiting_bytes) * times.timeout_per_mebibyte / mebibyte;
+    return now - waiting_since > frame_timeout() + (allowance << std::min(renewals, times.max_doublings));
 }
 
 // Acknowledges frames up to `number`. If later ones are outstanding, the last sent frame is timed next.
@@ -88,7 +88,7 @@
 // are those acknowledged after their timeout, which would measure an outage: a slow link is measured on the next
 // connection, with its doubled timeout.
 auto PeerLink::measure() -> void {
-    if (!waiting_stood || missed_for > patience()) return;
+    if (!waiting_stood || missed_for > frame_timeout()) return;
     round_trip.add(missed_for);
     renewals = 0;
 }
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -25,10 +25,10 @@
 auto take_note(std::string_view& bytes) -> std::optional<LinkNote>;
 
 struct LinkTimes {
-    Microseconds patience = 400 * one_millisecond;         // minimum timeout of an unacknowledged frame
-    Microseconds most_patience = 1'600 * one_millisecond;  // maximum timeout, on slow links and after backoff
-    Microseconds each_mebibyte = one_second;               // added per MiB in flight up to that frame
-    int most_doublings = 2;                  // of both, while no frame sent on an open connection is acknowledged
+    Microseconds min_timeout = 400 * one_millisecond;    // minimum timeout of an unacknowledged frame
+    Microseconds max_timeout = 1'600 * one_millisecond;  // maximum timeout, on slow links and after backoff
+    Microseconds timeout_per_mebibyte = one_second;      // added per MiB in flight up to that frame
+    int max_doublings = 2;                   // of both, while no frame sent on an open connection is acknowledged
     Microseconds life_silence = one_second;  // silence of the current instance, after which a former one is accepted
 };
 
@@ -73,7 +73,7 @@
     // A new connection was opened.
     auto dialled() -> void;
     // The timeout of the timed frame, without the allowance for its size.
-    auto patience() const -> Microseconds;
+    auto frame_timeout() const -> Microseconds;
     auto overdue(Microseconds now) const -> bool;
 
    private:
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr auto own_life = std::uint64_t{7};
 constexpr auto their_life = std::uint64_t{9};
-constexpr auto patience = LinkTimes().patience;
+constexpr auto min_timeout = LinkTimes().min_timeout;
 
 auto note(std::uint64_t number, std::uint64_t heard, std::uint64_t life = their_life, std::uint64_t of = own_life)
     -> LinkNote {
@@ -42,11 +42,11 @@
 TEST_CASE("a connection hangs where its other end is heard for long without what was sent") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(1, 0), own_life, patience);  // not later than the patience
+    link.heard(note(1, 0), own_life, min_timeout);  // not later than the patience
     CHECK_FALSE(link.hangs);
-    link.heard(note(2, 0), own_life, patience + 1);
+    link.heard(note(2, 0), own_life, min_timeout + 1);
     CHECK(link.hangs);
-    link.heard(note(3, 1), own_life, patience + 2);  // it came after all
+    link.heard(note(3, 1), own_life, min_timeout + 2);  // it came after all
     CHECK_FALSE(link.hangs);
     CHECK(link.waiting == 0);
 }
@@ -55,11 +55,11 @@
     auto link = PeerLink();
     auto now = Microseconds{0};
     link.sent(1, 0, now);
-    link.doubted(now + patience);
+    link.doubted(now + min_timeout);
     CHECK_FALSE(link.hangs);
     auto number = std::uint64_t{1};
     for (auto const doublings : {0, 1, 2, 2}) {
-        auto const limit = patience << doublings;
+        auto const limit = min_timeout << doublings;
         link.doubted(now + limit);
         CHECK_FALSE(link.hangs);
         link.doubted(now + limit + 1);
@@ -71,7 +71,7 @@
     }
     link.heard(note(1, number), own_life, now + 1);
     link.sent(++number, 0, now);
-    link.doubted(now + patience + 1);
+    link.doubted(now + min_timeout + 1);
     CHECK(link.hangs);  // what arrived ended the doublings
 }
 
@@ -132,14 +132,14 @@
     auto number = std::uint64_t{0};
     auto now = Microseconds{0};
     exchange(link, number, now, 20 * one_millisecond, 100);
-    CHECK(link.patience() == patience);
+    CHECK(link.frame_timeout() == min_timeout);
     exchange(link, number, now, 500 * one_millisecond, 400);
-    CHECK(link.patience() >= 750 * one_millisecond);
-    CHECK(link.patience() <= link.times.most_patience);
+    CHECK(link.frame_timeout() >= 750 * one_millisecond);
+    CHECK(link.frame_timeout() <= link.times.max_timeout);
     CHECK_FALSE(link.hangs);
     CHECK(link.renewals == 0);
     exchange(link, number, now, 20 * one_millisecond, 100);
-    CHECK(link.patience() == patience);
+    CHECK(link.frame_timeout() == min_timeout);
 }
 
 TEST_CASE("whatever a link went through, a connection that hangs is noticed within the greatest patience") {
@@ -154,8 +154,8 @@
         auto const sent_at = now;
         while (!link.hangs && now < sent_at + 10 * one_second)
             link.heard(note(1, acknowledged), own_life, now += 10 * one_millisecond);
-        auto const quick = 4 * round_trip * one_millisecond <= patience;
-        CHECK(now - sent_at <= (quick ? patience : link.times.most_patience) + 10 * one_millisecond);
+        auto const quick = 4 * round_trip * one_millisecond <= min_timeout;
+        CHECK(now - sent_at <= (quick ? min_timeout : link.times.max_timeout) + 10 * one_millisecond);
     }
 }
 
@@ -169,38 +169,38 @@
     CHECK(link.hangs);
     link.heard(note(number, number), own_life, now + 6 * one_second);  // repeated by the system, before any dial
     CHECK_FALSE(link.hangs);
-    CHECK(link.patience() == patience);
+    CHECK(link.frame_timeout() == min_timeout);
     now += 7 * one_second;
     link.sent(++number, 0, now, false);  // waits for a connection that is long in coming
     link.heard(note(number, 0), own_life, now + 300 * one_millisecond);
     link.heard(note(number, number), own_life, now + 390 * one_millisecond);
-    CHECK(link.patience() == patience);
+    CHECK(link.frame_timeout() == min_timeout);
 }
 
 TEST_CASE("doublings end with a frame that arrived by the connection that stands, and allowances double with them") {
     auto link = PeerLink();
     link.sent(1, std::size_t{1} << 20U, 0);
-    link.doubted(one_second + patience);
+    link.doubted(one_second + min_timeout);
     CHECK_FALSE(link.hangs);
-    link.doubted(one_second + patience + 1);
+    link.doubted(one_second + min_timeout + 1);
     CHECK(link.hangs);
     link.dialled();
     link.heard(note(1, 1), own_life, 2 * one_second);  // of the connection before
-    CHECK(link.patience() == 2 * patience);
+    CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(2, std::size_t{1} << 20U, 2 * one_second, false);
-    CHECK_FALSE(link.overdue(2 * one_second + 2 * (one_second + patience)));
-    CHECK(link.overdue(2 * one_second + 2 * (one_second + patience) + 1));
+    CHECK_FALSE(link.overdue(2 * one_second + 2 * (one_second + min_timeout)));
+    CHECK(link.overdue(2 * one_second + 2 * (one_second + min_timeout) + 1));
     link.heard(note(2, 2), own_life, 2 * one_second + 1'000);  // the connection's own delay
-    CHECK(link.patience() == 2 * patience);
+    CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(3, 0, 3 * one_second);
     link.heard(note(3, 3), own_life, 3 * one_second + 1'000);
-    CHECK(link.patience() == patience);
+    CHECK(link.frame_timeout() == min_timeout);
 }
 
 TEST_CASE("words to a former life of this node are no word that its frames arrive") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(1, 40, their_life, own_life + 1), own_life, patience + 1);
+    link.heard(note(1, 40, their_life, own_life + 1), own_life, min_timeout + 1);
     CHECK(link.hangs);
 }
 
