--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -44,20 +44,20 @@
     smoothed += (sample - smoothed) / 8;
 }
 
-auto PeerLink::sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool stood) -> void {
+auto PeerLink::sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool connected) -> void {
     last_number = number;
     last_at = now;
-    last_stood = stood;
-    if (waiting != 0) {
+    last_connected = connected;
+    if (timed_frame != 0) {
         behind_bytes += bytes;
         return;
     }
-    waiting = number;
-    waiting_since = now;
-    waiting_stood = stood;
-    waiting_bytes = bytes;
+    timed_frame = number;
+    timed_since = now;
+    timed_connected = connected;
+    timed_bytes = bytes;
     behind_bytes = 0;
-    missed_for = 0;
+    unacknowledged_for = 0;
 }
 
 auto PeerLink::frame_timeout() const -> Microseconds {
@@ -66,21 +66,21 @@
 }
 
 auto PeerLink::overdue(Microseconds now) const -> bool {
-    if (waiting == 0) return false;
-    auto const allowance = static_cast<Microseconds>(waiting_bytes) * times.timeout_per_mebibyte / mebibyte;
-    return now - waiting_since > frame_timeout() + (allowance << std::min(renewals, times.max_doublings));
+    if (timed_frame == 0) return false;
+    auto const allowance = static_cast<Microseconds>(timed_bytes) * times.timeout_per_mebibyte / mebibyte;
+    return now - timed_since > frame_timeout() + (allowance << std::min(renewals, times.max_doublings));
 }
 
 // Acknowledges frames up to `number`. If later ones are outstanding, the last sent frame is timed next.
 auto PeerLink::arrived(std::uint64_t number) -> void {
-    if (waiting != 0) measure();
+    if (timed_frame != 0) measure();
     hangs = another_life = false;
-    waiting = number < last_number ? last_number : 0;
-    waiting_since = last_at;
-    waiting_stood = last_stood;
-    waiting_bytes = behind_bytes;
+    timed_frame = number < last_number ? last_number : 0;
+    timed_since = last_at;
+    timed_connected = last_connected;
+    timed_bytes = behind_bytes;
     behind_bytes = 0;
-    missed_for = 0;
+    unacknowledged_for = 0;
 }
 
 // Samples the round-trip time: the greatest age at which the frame was still missing in a frame from the peer. That
@@ -88,8 +88,8 @@
 // are those acknowledged after their timeout, which would measure an outage: a slow link is measured on the next
 // connection, with its doubled timeout.
 auto PeerLink::measure() -> void {
-    if (!waiting_stood || missed_for > frame_timeout()) return;
-    round_trip.add(missed_for);
+    if (!timed_connected || unacknowledged_for > frame_timeout()) return;
+    round_trip.add(unacknowledged_for);
     renewals = 0;
 }
 
@@ -107,7 +107,7 @@
 }
 
 auto PeerLink::missed(Microseconds now) -> void {
-    if (waiting != 0) missed_for = std::max(missed_for, now - waiting_since);
+    if (timed_frame != 0) unacknowledged_for = std::max(unacknowledged_for, now - timed_since);
     if (overdue(now)) hangs = true;
 }
 
@@ -119,7 +119,7 @@
     take_life(note.life);
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
-    auto const least = waiting != 0 ? waiting : last_number;
+    auto const least = timed_frame != 0 ? timed_frame : last_number;
     if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
     missed(now);
 }
@@ -129,9 +129,9 @@
 auto PeerLink::dialled() -> void {
     if (hangs) ++renewals;
     hangs = another_life = false;
-    waiting = 0;
-    waiting_bytes = behind_bytes = 0;
-    missed_for = 0;
+    timed_frame = 0;
+    timed_bytes = behind_bytes = 0;
+    unacknowledged_for = 0;
 }
 
 }  // namespace dockrock
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -47,13 +47,13 @@
     LinkTimes times;
     std::uint64_t last_number = 0;
     Microseconds last_at = 0;
-    std::uint64_t waiting = 0;  // the unacknowledged frame that is timed; 0: all frames are acknowledged
-    Microseconds waiting_since = 0;
-    std::size_t waiting_bytes = 0;  // in flight up to and with that frame
-    std::size_t behind_bytes = 0;   // sent after it
-    bool waiting_stood = false;     // it was sent on an open connection
-    bool last_stood = false;        // the last frame was
-    Microseconds missed_for = 0;    // its age when the peer last failed to acknowledge it or timed out
+    std::uint64_t timed_frame = 0;  // the unacknowledged frame that is timed; 0: all frames are acknowledged
+    Microseconds timed_since = 0;
+    std::size_t timed_bytes = 0;          // in flight up to and with that frame
+    std::size_t behind_bytes = 0;         // sent after it
+    bool timed_connected = false;         // it was sent on an open connection
+    bool last_connected = false;          // the last frame was
+    Microseconds unacknowledged_for = 0;  // its age when the peer last failed to acknowledge it or timed out
     RoundTrip round_trip;
     std::uint64_t heard_life = 0;                 // the peer's current process instance
     std::array<std::uint64_t, 4> former_lives{};  // earlier instances, to recognize their late frames
@@ -64,8 +64,8 @@
     bool hangs = false;
     bool another_life = false;  // it hangs because the peer restarted after the connection was opened
 
-    // A frame was sent. `stood`: the connection was open at that time.
-    auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool stood = true) -> void;
+    // A frame was sent. `connected`: the connection was open at that time.
+    auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool connected = true) -> void;
     // A frame with this header came from the peer.
     auto heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void;
     // The peer did not answer a request in time.
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -48,7 +48,7 @@
     CHECK(link.hangs);
     link.heard(note(3, 1), own_life, min_timeout + 2);  // it came after all
     CHECK_FALSE(link.hangs);
-    CHECK(link.waiting == 0);
+    CHECK(link.timed_frame == 0);
 }
 
 TEST_CASE("a peer that says nothing is given up on a doubt alone, and the later each time") {
@@ -80,11 +80,11 @@
     link.sent(1, 0, 0);
     link.sent(2, std::size_t{4} << 20U, 1'000);
     link.heard(note(1, 1), own_life, 2'000);
-    CHECK(link.waiting == 2);
+    CHECK(link.timed_frame == 2);
     CHECK_FALSE(link.overdue(4 * one_second));
     CHECK(link.overdue(5 * one_second));
     link.heard(note(2, 2), own_life, 5 * one_second);
-    CHECK(link.waiting == 0);
+    CHECK(link.timed_frame == 0);
     CHECK_FALSE(link.overdue(60 * one_second));
 }
 
@@ -222,7 +222,7 @@
     link.sent(2, 0, 2 * one_second);
     link.heard(note(4, 2, present), own_life, 2 * one_second + 1'000);
     CHECK_FALSE(link.hangs);
-    CHECK(link.waiting == 0);
+    CHECK(link.timed_frame == 0);
 }
 
 TEST_CASE("a life that is heard again and again keeps its former one silent") {
