--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -62,18 +62,18 @@
 
 auto PeerLink::frame_timeout() const -> Microseconds {
     auto const measured = std::max(times.min_timeout, round_trip.timeout());
-    return std::min(measured << std::min(renewals, times.max_doublings), times.max_timeout);
+    return std::min(measured << std::min(reconnects, times.max_doublings), times.max_timeout);
 }
 
 auto PeerLink::overdue(Microseconds now) const -> bool {
     if (timed_frame == 0) return false;
     auto const allowance = static_cast<Microseconds>(timed_bytes) * times.timeout_per_mebibyte / mebibyte;
-    return now - timed_since > frame_timeout() + (allowance << std::min(renewals, times.max_doublings));
+    return now - timed_since > frame_timeout() + (allowance << std::min(reconnects, times.max_doublings));
 }
 
 // Acknowledges frames up to `number`. If later ones are outstanding, the last sent frame is timed next.
-auto PeerLink::arrived(std::uint64_t number) -> void {
-    if (timed_frame != 0) measure();
+auto PeerLink::acknowledge(std::uint64_t number) -> void {
+    if (timed_frame != 0) sample_round_trip();
     hangs = another_life = false;
     timed_frame = number < last_number ? last_number : 0;
     timed_since = last_at;
@@ -87,10 +87,10 @@
 // does not depend on how often a healthy peer sends. Frames sent before the connection was open are no samples, nor
 // are those acknowledged after their timeout, which would measure an outage: a slow link is measured on the next
 // connection, with its doubled timeout.
-auto PeerLink::measure() -> void {
+auto PeerLink::sample_round_trip() -> void {
     if (!timed_connected || unacknowledged_for > frame_timeout()) return;
     round_trip.add(unacknowledged_for);
-    renewals = 0;
+    reconnects = 0;
 }
 
 auto PeerLink::is_former(std::uint64_t life) const -> bool {
@@ -106,7 +106,7 @@
     heard_number = 0;
 }
 
-auto PeerLink::missed(Microseconds now) -> void {
+auto PeerLink::check_timeout(Microseconds now) -> void {
     if (timed_frame != 0) unacknowledged_for = std::max(unacknowledged_for, now - timed_since);
     if (overdue(now)) hangs = true;
 }
@@ -120,14 +120,14 @@
     heard_at = now;
     heard_number = std::max(heard_number, note.number);
     auto const least = timed_frame != 0 ? timed_frame : last_number;
-    if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return arrived(note.heard_number);
-    missed(now);
+    if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return acknowledge(note.heard_number);
+    check_timeout(now);
 }
 
-auto PeerLink::doubted(Microseconds now) -> void { missed(now); }
+auto PeerLink::doubted(Microseconds now) -> void { check_timeout(now); }
 
 auto PeerLink::dialled() -> void {
-    if (hangs) ++renewals;
+    if (hangs) ++reconnects;
     hangs = another_life = false;
     timed_frame = 0;
     timed_bytes = behind_bytes = 0;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -60,7 +60,7 @@
     std::size_t next_former = 0;
     Microseconds heard_at = 0;  // last frame of the current instance
     std::uint64_t heard_number = 0;
-    int renewals = 0;  // reconnects since the last acknowledgement of a frame sent on an open connection
+    int reconnects = 0;  // reconnects since the last acknowledgement of a frame sent on an open connection
     bool hangs = false;
     bool another_life = false;  // it hangs because the peer restarted after the connection was opened
 
@@ -78,9 +78,9 @@
 
    private:
     auto is_former(std::uint64_t life) const -> bool;
-    auto missed(Microseconds now) -> void;
-    auto measure() -> void;
-    auto arrived(std::uint64_t number) -> void;
+    auto check_timeout(Microseconds now) -> void;
+    auto sample_round_trip() -> void;
+    auto acknowledge(std::uint64_t number) -> void;
     auto take_life(std::uint64_t life) -> void;
 };
 
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -112,15 +112,15 @@
 auto exchange(PeerLink& link, std::uint64_t& number, Microseconds& now, Microseconds round_trip, int frames) -> void {
     constexpr auto pace = 50 * one_millisecond;
     auto on_the_way = std::map<Microseconds, std::uint64_t>();
-    auto arrived = std::uint64_t{0};
+    auto acknowledged = std::uint64_t{0};
     for (auto count = 0; count < frames; ++count, now += pace) {
         link.sent(++number, 0, now);
         on_the_way[now + round_trip] = number;
         while (!on_the_way.empty() && on_the_way.begin()->first <= now) {
-            arrived = on_the_way.begin()->second;
+            acknowledged = on_the_way.begin()->second;
             on_the_way.erase(on_the_way.begin());
         }
-        link.heard(note(number, arrived), own_life, now);
+        link.heard(note(number, acknowledged), own_life, now);
         if (link.hangs) link.dialled();
     }
 }
@@ -137,7 +137,7 @@
     CHECK(link.frame_timeout() >= 750 * one_millisecond);
     CHECK(link.frame_timeout() <= link.times.max_timeout);
     CHECK_FALSE(link.hangs);
-    CHECK(link.renewals == 0);
+    CHECK(link.reconnects == 0);
     exchange(link, number, now, 20 * one_millisecond, 100);
     CHECK(link.frame_timeout() == min_timeout);
 }
