--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -74,7 +74,7 @@
 // Acknowledges frames up to `number`. If later ones are outstanding, the last sent frame is timed next.
 auto PeerLink::acknowledge(std::uint64_t number) -> void {
     if (timed_frame != 0) sample_round_trip();
-    hangs = another_life = false;
+    stalled = another_life = false;
     timed_frame = number < last_number ? last_number : 0;
     timed_since = last_at;
     timed_connected = last_connected;
@@ -100,7 +100,7 @@
 // Switches to another instance of the peer. Frames of a former instance may still come after the first of the next.
 auto PeerLink::take_life(std::uint64_t life) -> void {
     if (life == heard_life) return;
-    hangs = another_life = heard_life != 0 && last_number != 0;
+    stalled = another_life = heard_life != 0 && last_number != 0;
     former_lives[next_former++ % former_lives.size()] = heard_life;
     heard_life = life;
     heard_number = 0;
@@ -108,7 +108,7 @@
 
 auto PeerLink::check_timeout(Microseconds now) -> void {
     if (timed_frame != 0) unacknowledged_for = std::max(unacknowledged_for, now - timed_since);
-    if (overdue(now)) hangs = true;
+    if (overdue(now)) stalled = true;
 }
 
 // If the peer restarts several times during one outage, frames of its instances may come in any order. A former
@@ -124,11 +124,11 @@
     check_timeout(now);
 }
 
-auto PeerLink::doubted(Microseconds now) -> void { check_timeout(now); }
+auto PeerLink::request_timed_out(Microseconds now) -> void { check_timeout(now); }
 
 auto PeerLink::dialled() -> void {
-    if (hangs) ++reconnects;
-    hangs = another_life = false;
+    if (stalled) ++reconnects;
+    stalled = another_life = false;
     timed_frame = 0;
     timed_bytes = behind_bytes = 0;
     unacknowledged_for = 0;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -61,15 +61,15 @@
     Microseconds heard_at = 0;  // last frame of the current instance
     std::uint64_t heard_number = 0;
     int reconnects = 0;  // reconnects since the last acknowledgement of a frame sent on an open connection
-    bool hangs = false;
-    bool another_life = false;  // it hangs because the peer restarted after the connection was opened
+    bool stalled = false;
+    bool another_life = false;  // it is stalled because the peer restarted after the connection was opened
 
     // A frame was sent. `connected`: the connection was open at that time.
     auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool connected = true) -> void;
     // A frame with this header came from the peer.
     auto heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void;
     // The peer did not answer a request in time.
-    auto doubted(Microseconds now) -> void;
+    auto request_timed_out(Microseconds now) -> void;
     // A new connection was opened.
     auto dialled() -> void;
     // The timeout of the timed frame, without the allowance for its size.
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -88,7 +88,7 @@
         write_log(
             Level::information, "peer-dialled-anew",
             fields(
-                "address", address, "connections", peer.connections->count.load(), "hangs", link.hangs,
+                "address", address, "connections", peer.connections->count.load(), "hangs", link.stalled,
                 "dialled_before_microseconds", now - peer.dialed_at));
         closer.close(peer.socket, std::exchange(peer.connections, std::make_shared<Peer::Connections>()));
     }
@@ -115,8 +115,8 @@
 // it is dialled anew where it was not reached yet, or says that nothing of ours arrives. What waited is let go.
 auto Transport::dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool {
     auto const since = now - peer.dialed_at;
-    if (peer.connections->count > 0) return link.another_life || (link.hangs && since > dial_patience);
-    auto const up = peer.heard || link.hangs;
+    if (peer.connections->count > 0) return link.another_life || (link.stalled && since > dial_patience);
+    auto const up = peer.heard || link.stalled;
     return since > (up ? attempt_patience(dial_patience, peer.attempts.while_heard)
                        : attempt_patience(attempt_limit, peer.attempts.in_silence));
 }
@@ -156,7 +156,7 @@
 
 auto Transport::doubt(std::string const& address, Microseconds now) -> void {
     auto const guard = std::lock_guard(lock);
-    if (auto const found = links.find(address); found != links.end()) found->second.doubted(now);
+    if (auto const found = links.find(address); found != links.end()) found->second.request_timed_out(now);
 }
 
 auto Transport::peers_seen(Microseconds now) -> std::vector<PeerSeen> {
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -43,11 +43,11 @@
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(1, 0), own_life, min_timeout);  // not later than the patience
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     link.heard(note(2, 0), own_life, min_timeout + 1);
-    CHECK(link.hangs);
+    CHECK(link.stalled);
     link.heard(note(3, 1), own_life, min_timeout + 2);  // it came after all
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     CHECK(link.timed_frame == 0);
 }
 
@@ -55,24 +55,24 @@
     auto link = PeerLink();
     auto now = Microseconds{0};
     link.sent(1, 0, now);
-    link.doubted(now + min_timeout);
-    CHECK_FALSE(link.hangs);
+    link.request_timed_out(now + min_timeout);
+    CHECK_FALSE(link.stalled);
     auto number = std::uint64_t{1};
     for (auto const doublings : {0, 1, 2, 2}) {
         auto const limit = min_timeout << doublings;
-        link.doubted(now + limit);
-        CHECK_FALSE(link.hangs);
-        link.doubted(now + limit + 1);
-        CHECK(link.hangs);
+        link.request_timed_out(now + limit);
+        CHECK_FALSE(link.stalled);
+        link.request_timed_out(now + limit + 1);
+        CHECK(link.stalled);
         now += limit + 1;
         link.dialled();
-        CHECK_FALSE(link.hangs);
+        CHECK_FALSE(link.stalled);
         link.sent(++number, 0, now);
     }
     link.heard(note(1, number), own_life, now + 1);
     link.sent(++number, 0, now);
-    link.doubted(now + min_timeout + 1);
-    CHECK(link.hangs);  // what arrived ended the doublings
+    link.request_timed_out(now + min_timeout + 1);
+    CHECK(link.stalled);  // what arrived ended the doublings
 }
 
 TEST_CASE("what is watched goes on with what was sent behind it, and large frames are given their time") {
@@ -92,18 +92,18 @@
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(5, 1), own_life, 1'000);
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     link.heard(note(1, 0, 10, 0), own_life, 2'000);
-    CHECK(link.hangs);
+    CHECK(link.stalled);
     CHECK(link.another_life);
     link.heard(note(6, 1), own_life, 3'000);  // what is left of the former life
-    CHECK(link.hangs);
+    CHECK(link.stalled);
     CHECK(link.heard_life == 10);
     CHECK(link.heard_number == 1);
     link.dialled();
     link.sent(2, 0, 4'000);
     link.heard(note(2, 2, 10), own_life, 5'000);
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
 }
 
 namespace {
@@ -121,7 +121,7 @@
             on_the_way.erase(on_the_way.begin());
         }
         link.heard(note(number, acknowledged), own_life, now);
-        if (link.hangs) link.dialled();
+        if (link.stalled) link.dialled();
     }
 }
 
@@ -136,7 +136,7 @@
     exchange(link, number, now, 500 * one_millisecond, 400);
     CHECK(link.frame_timeout() >= 750 * one_millisecond);
     CHECK(link.frame_timeout() <= link.times.max_timeout);
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     CHECK(link.reconnects == 0);
     exchange(link, number, now, 20 * one_millisecond, 100);
     CHECK(link.frame_timeout() == min_timeout);
@@ -152,7 +152,7 @@
         link.sent(++number, 0, now);
         link.heard(note(1, acknowledged), own_life, now);
         auto const sent_at = now;
-        while (!link.hangs && now < sent_at + 10 * one_second)
+        while (!link.stalled && now < sent_at + 10 * one_second)
             link.heard(note(1, acknowledged), own_life, now += 10 * one_millisecond);
         auto const quick = 4 * round_trip * one_millisecond <= min_timeout;
         CHECK(now - sent_at <= (quick ? min_timeout : link.times.max_timeout) + 10 * one_millisecond);
@@ -166,9 +166,9 @@
     exchange(link, number, now, 20 * one_millisecond, 100);
     link.sent(++number, 0, now);
     link.heard(note(number, 0), own_life, now + 5 * one_second);
-    CHECK(link.hangs);
+    CHECK(link.stalled);
     link.heard(note(number, number), own_life, now + 6 * one_second);  // repeated by the system, before any dial
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     CHECK(link.frame_timeout() == min_timeout);
     now += 7 * one_second;
     link.sent(++number, 0, now, false);  // waits for a connection that is long in coming
@@ -180,10 +180,10 @@
 TEST_CASE("doublings end with a frame that arrived by the connection that stands, and allowances double with them") {
     auto link = PeerLink();
     link.sent(1, std::size_t{1} << 20U, 0);
-    link.doubted(one_second + min_timeout);
-    CHECK_FALSE(link.hangs);
-    link.doubted(one_second + min_timeout + 1);
-    CHECK(link.hangs);
+    link.request_timed_out(one_second + min_timeout);
+    CHECK_FALSE(link.stalled);
+    link.request_timed_out(one_second + min_timeout + 1);
+    CHECK(link.stalled);
     link.dialled();
     link.heard(note(1, 1), own_life, 2 * one_second);  // of the connection before
     CHECK(link.frame_timeout() == 2 * min_timeout);
@@ -201,7 +201,7 @@
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(1, 40, their_life, own_life + 1), own_life, min_timeout + 1);
-    CHECK(link.hangs);
+    CHECK(link.stalled);
 }
 
 TEST_CASE("a former life speaks again once the present one was silent for a second") {
@@ -221,7 +221,7 @@
     link.dialled();
     link.sent(2, 0, 2 * one_second);
     link.heard(note(4, 2, present), own_life, 2 * one_second + 1'000);
-    CHECK_FALSE(link.hangs);
+    CHECK_FALSE(link.stalled);
     CHECK(link.timed_frame == 0);
 }
 
@@ -244,7 +244,7 @@
     for (auto const later : {0U, 1U, 2U}) link.heard(note(1, 0, their_life + later, 0), own_life, ++now);
     link.dialled();
     link.heard(note(2, 0, their_life, 0), own_life, ++now);  // two restarts ago
-    CHECK((link.heard_life == their_life + 2 && !link.hangs));
+    CHECK((link.heard_life == their_life + 2 && !link.stalled));
     link.heard(note(2, 0, their_life, 0), own_life, now + 2 * one_second);  // all that is heard: it runs
     CHECK(link.heard_life == their_life);
 }
