--- a/source/base/memory_budget.cpp
+++ b/source/base/memory_budget.cpp
@@ -5,7 +5,7 @@
 auto MemoryBudget::take(std::uint64_t bytes) -> bool {
     auto used_now = used_bytes.load();
     do {
-        if (bytes > most_bytes - used_now) {
+        if (bytes > limit_bytes - used_now) {
             ++refused;
             return false;
         }
@@ -13,18 +13,18 @@
     return true;
 }
 
-auto MemoryShare::grow_to(std::uint64_t bytes) -> bool {
-    if (bytes <= free_bytes || bytes <= taken) return true;
-    if (!budget.take(bytes - taken)) return false;
-    taken = bytes;
+auto MemoryReservation::grow_to(std::uint64_t bytes) -> bool {
+    if (bytes <= free_bytes || bytes <= reserved) return true;
+    if (!budget.take(bytes - reserved)) return false;
+    reserved = bytes;
     return true;
 }
 
-auto MemoryShare::shrink_to(std::uint64_t bytes) -> void {
+auto MemoryReservation::shrink_to(std::uint64_t bytes) -> void {
     auto const kept = bytes <= free_bytes ? 0 : bytes;
-    if (kept >= taken) return;
-    budget.give_back(taken - kept);
-    taken = kept;
+    if (kept >= reserved) return;
+    budget.release(reserved - kept);
+    reserved = kept;
 }
 
 }  // namespace dockrock
--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -160,7 +160,7 @@
     if (call.operation != "get" && call.identity.empty())
         call.identity = "node-" + std::to_string(clock_now()) + "-" + std::to_string(node.next_ticket++);
     auto const asked_at = clock_now();
-    auto room = MemoryShare(node.message_memory);
+    auto room = MemoryReservation(node.message_memory);
     auto done = co_await node_call(node, call, room);
     if (call.operation != "get" && done.status == 200) node.measures.in_force.add(clock_now() - asked_at);
     auto headers = Headers();
--- a/source/connection/message_parser.hpp
+++ b/source/connection/message_parser.hpp
@@ -35,7 +35,7 @@
     auto limit_stored_body(std::size_t bytes) -> void { most_stored = bytes; }
     // Takes the room for this message from `share`: its head, its body and the buffer it is read into;
     // errc::not_enough_memory where it gives none.
-    auto count_in(MemoryShare& share) -> void { room = &share; }
+    auto count_in(MemoryReservation& share) -> void { room = &share; }
     // Room for a buffer of `bytes` until the message is read. False: there is none.
     auto hold_buffer(std::size_t bytes) -> bool {
         if (bytes <= buffer_bytes) return true;
@@ -64,7 +64,7 @@
     std::size_t in_head = 0;
     std::size_t most_in_head = default_head_limit;
     std::size_t most_stored = std::numeric_limits<std::size_t>::max();
-    MemoryShare* room = nullptr;
+    MemoryReservation* room = nullptr;
     std::size_t buffer_bytes = 0;
     std::size_t head_bytes = 0;  // as stored
     bool chunk_seen = false;
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -79,7 +79,7 @@
     line("losses_borne_for_microseconds", now - losses_bearable.since.load());
     measures.write(text);
     write_machine(text, limits, process_use());
-    if (message_memory.most() != MemoryBudget::unlimited) line("message_memory_limit_bytes", message_memory.most());
+    if (message_memory.limit() != MemoryBudget::unlimited) line("message_memory_limit_bytes", message_memory.limit());
     line("message_memory_bytes", message_memory.used());
     line("message_memory_refusals_total", message_memory.refusals());
     auto const guard = std::lock_guard(table.lock);
--- a/source/connection/node_call.cpp
+++ b/source/connection/node_call.cpp
@@ -18,12 +18,12 @@
 auto room_for(Node const& node, Call const& call) -> std::uint64_t {
     auto const wanted = call.operation == "get" ? copies_of_read * node.snapshot.load()->document_bytes
                                                 : copies_of_change * call.body.size();
-    return std::min(wanted, node.message_memory.most() / 2);
+    return std::min(wanted, node.message_memory.limit() / 2);
 }
 
 auto without_room() -> CallDone { return {"", 0, 503, R"({"error":"no room for the call now"})", ""}; }
 
-auto await_room(MemoryShare& room, std::uint64_t bytes) -> awaitable<bool> {
+auto await_room(MemoryReservation& room, std::uint64_t bytes) -> awaitable<bool> {
     auto const limit = clock_now() + room_limit;
     while (!room.grow_to(bytes)) {
         if (clock_now() >= limit) co_return false;
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-auto node_call(Node& node, Call call, MemoryShare& room) -> awaitable<CallDone> {
+auto node_call(Node& node, Call call, MemoryReservation& room) -> awaitable<CallDone> {
     auto const bytes = room_for(node, call);
     if (!co_await await_room(room, bytes)) co_return without_room();
     co_return co_await made_call(node, std::move(call));
--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -31,7 +31,7 @@
 
 auto error_text(char const* what) -> std::string { return json::serialize(fields("error", what)); }
 
-auto operator_answer(Node& node, HttpRequest const& request, MemoryShare& room) -> awaitable<HttpResponse> {
+auto operator_answer(Node& node, HttpRequest const& request, MemoryReservation& room) -> awaitable<HttpResponse> {
     auto const& form = *node.form;
     auto const target = text(request.target().substr(0, request.target().find('?')));
     auto const method = request.method();
@@ -66,14 +66,14 @@
 }
 
 // `room`: held until the answer has been written.
-using Answerer = std::function<awaitable<HttpResponse>(Node&, HttpRequest const&, MemoryShare& room)>;
+using Answerer = std::function<awaitable<HttpResponse>(Node&, HttpRequest const&, MemoryReservation& room)>;
 
 auto serve_calls(Node& node, tcp::socket socket, Answerer answerer) -> awaitable<void> {
     auto stream = beast::tcp_stream(std::move(socket));
     probe_silence(stream.socket());
     auto buffer = beast::flat_buffer();
     while (!node.finished) {
-        auto room = MemoryShare(node.message_memory);
+        auto room = MemoryReservation(node.message_memory);
         auto parser = RequestParser();
         parser.count_in(room);
         parser.body_limit(call_limit);
@@ -91,7 +91,7 @@
         }
         release_buffer(buffer, parser);
         auto const request = parser.release();
-        auto answer_room = MemoryShare(node.message_memory);
+        auto answer_room = MemoryReservation(node.message_memory);
         auto const response = co_await answerer(node, request, answer_room);
         stream.expires_after(std::chrono::seconds(10));
         if (auto const [failure, size] = co_await http::async_write(stream, response, use_tuple); failure) co_return;
@@ -99,7 +99,7 @@
     }
 }
 
-auto ready_answer(Node& node, HttpRequest const& request, MemoryShare&) -> awaitable<HttpResponse> {
+auto ready_answer(Node& node, HttpRequest const& request, MemoryReservation&) -> awaitable<HttpResponse> {
     auto const ready = node.ready(clock_now());
     co_return response_of(request, ready ? 200 : 503, ready ? R"({"ready":true})" : R"({"ready":false})");
 }
--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -23,7 +23,7 @@
             return current->rules->services ? current->rules->services->document.limits : RequestLimits{};
         }();
         if (buffer.size() == 0 && !co_await await_request(limits)) co_return;
-        auto room = MemoryShare(node.message_memory);
+        auto room = MemoryReservation(node.message_memory);
         auto parser = RequestParser();
         parser.count_in(room);
         if (auto const failure = co_await read_request(limits, parser); failure) {
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -29,11 +29,11 @@
     bool chunked = false;
     bool keep = false;  // the client's connection can be used further
     EventReader events;
-    std::optional<MemoryShare> event_room;  // of an event that is not whole yet
-    std::set<std::string> tried;            // replicas that this request was sent to
+    std::optional<MemoryReservation> event_room;  // of an event that is not whole yet
+    std::set<std::string> tried;                  // replicas that this request was sent to
     // A replica's own failure that may be passed on where no other try is left.
     std::string failure_head;
-    std::optional<MemoryShare> failure_room;
+    std::optional<MemoryReservation> failure_room;
     RequestTrace trace;
 };
 
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -53,7 +53,7 @@
                 continue;
             }
         }
-        auto room = MemoryShare(node.message_memory);
+        auto room = MemoryReservation(node.message_memory);
         auto parser = RequestParser();
         parser.count_in(room);
         parser.body_limit(request_body_limit);
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -19,7 +19,7 @@
 // Before the first thread runs.
 auto Node::take_limits() -> void {
     auto const shares = node_shares(limits, process_use());
-    message_memory.set_most(shares.message_memory);
+    message_memory.set_limit(shares.message_memory);
     most_client_connections = shares.client_connections;
     auto const& bounds = settings.bounds;
     auto& granting = table.granting;
--- a/tests/endless_answer_test.cpp
+++ b/tests/endless_answer_test.cpp
@@ -112,7 +112,7 @@
         },
         Kind{.stream = true, .tries = 1});
     auto& budget = session.wire.node->message_memory;
-    budget.set_most(200'000);
+    budget.set_limit(200'000);
     session.say(post("id-1"));
     REQUIRE(session.hear("data: first"));
     CHECK(session.run_until([&] { return session.session_over; }));
--- a/tests/held_bodies_test.cpp
+++ b/tests/held_bodies_test.cpp
@@ -24,14 +24,14 @@
 
 TEST_CASE("a budget of memory is never passed, and gets back what a message took") {
     auto budget = MemoryBudget();
-    budget.set_most(100'000);
+    budget.set_limit(100'000);
     {
-        auto first = MemoryShare(budget);
+        auto first = MemoryReservation(budget);
         CHECK(first.grow_to(60'000));
         CHECK(first.grow_to(50'000));  // it has it
         CHECK(budget.used() == 60'000);
-        auto second = MemoryShare(budget);
-        CHECK(second.grow_to(MemoryShare::free_bytes));
+        auto second = MemoryReservation(budget);
+        CHECK(second.grow_to(MemoryReservation::free_bytes));
         CHECK(budget.used() == 60'000);
         CHECK_FALSE(second.grow_to(40'001));
         CHECK(budget.refusals() == 1);
@@ -46,7 +46,7 @@
     constexpr auto length = std::size_t{1'000'000};
     auto const head = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n";
     auto budget = MemoryBudget();
-    auto share = MemoryShare(budget);
+    auto share = MemoryReservation(budget);
     auto parser = RequestParser();
     parser.count_in(share);
     parser.eager(true);
@@ -64,7 +64,7 @@
 TEST_CASE("a head takes room for each of its fields, however small they are") {
     constexpr auto lines = std::size_t{2'000};
     auto budget = MemoryBudget();
-    auto share = MemoryShare(budget);
+    auto share = MemoryReservation(budget);
     auto parser = RequestParser();
     parser.count_in(share);
     parser.limit_head(64'000);
@@ -77,10 +77,10 @@
         CHECK(budget.used() > lines * sizeof(HeadField));
     }
     SECTION("which there is not") {
-        budget.set_most(lines * sizeof(HeadField));
+        budget.set_limit(lines * sizeof(HeadField));
         parser.put(asio::buffer(head + "\r\n"), failure);
         CHECK(failure == boost::system::errc::not_enough_memory);
-        CHECK(budget.used() <= budget.most());
+        CHECK(budget.used() <= budget.limit());
     }
 }
 
@@ -106,7 +106,7 @@
     auto kind = Kind();
     kind.header_bytes = 200'000;
     auto session = SessionWire(answering(requests), kind);
-    session.wire.node->message_memory.set_most(64'000);
+    session.wire.node->message_memory.set_limit(64'000);
     session.say(post("id-1", 4, "Long: " + std::string(150'000, 'v') + "\r\n"));
     check_refused(session);
     CHECK(requests == 0);
@@ -115,7 +115,7 @@
 TEST_CASE("a body without room gets 503 with Retry-After, and the connection is not reset under it") {
     auto requests = 0;
     auto session = SessionWire(answering(requests));
-    session.wire.node->message_memory.set_most(64'000);
+    session.wire.node->message_memory.set_limit(64'000);
     session.say(post("id-1", 1'000'000));
     check_refused(session);
     CHECK(requests == 0);
@@ -125,8 +125,8 @@
     auto requests = 0;
     auto session = SessionWire(answering(requests));
     auto& budget = session.wire.node->message_memory;
-    budget.set_most(64'000);
-    auto other = MemoryShare(budget);
+    budget.set_limit(64'000);
+    auto other = MemoryReservation(budget);
     REQUIRE(other.grow_to(64'000));
     session.say(post("id-1"));
     CHECK(session.hear("text-of-id-1"));
@@ -140,7 +140,7 @@
         co_await peer.until("never");
     });
     auto& budget = session.wire.node->message_memory;
-    budget.set_most(64'000);
+    budget.set_limit(64'000);
     session.say(post("id-1"));
     CHECK(session.hear("HTTP/1.1 502"));
     CHECK(session.run_until([&] { return budget.used() == 0; }));
