--- a/source/base/invariants.cpp
+++ b/source/base/invariants.cpp
@@ -10,13 +10,13 @@
     static std::array<std::atomic<std::uint64_t>, invariant_count> all{};
     return all;
 }
-std::atomic<Sink> told{nullptr};
-thread_local std::uint64_t met = 0;
-thread_local std::string last;
+std::atomic<Sink> current_sink{nullptr};
+thread_local std::uint64_t thread_violations = 0;
+thread_local std::string last_violation;
 
 }  // namespace
 
-auto set_sink(Sink sink) -> void { told = sink; }
+auto set_sink(Sink sink) -> void { current_sink = sink; }
 
 auto count(Invariant which) -> std::uint64_t { return counts()[static_cast<std::size_t>(which)].load(); }
 
@@ -26,9 +26,9 @@
     return sum;
 }
 
-auto met_on_this_thread() -> std::uint64_t { return met; }
+auto violations_on_this_thread() -> std::uint64_t { return thread_violations; }
 
-auto last_on_this_thread() -> std::string const& { return last; }
+auto last_violation_on_this_thread() -> std::string const& { return last_violation; }
 
 auto describe(Invariant which, InvariantFacts facts) -> std::string {
     auto text = std::string(name_of(which));
@@ -38,9 +38,9 @@
 
 auto violated(Invariant which, InvariantFacts facts) -> void {
     ++counts()[static_cast<std::size_t>(which)];
-    ++met;
-    last = describe(which, facts);
-    if (auto const sink = told.load(); sink != nullptr) sink(which, facts);
+    ++thread_violations;
+    last_violation = describe(which, facts);
+    if (auto const sink = current_sink.load(); sink != nullptr) sink(which, facts);
 }
 
 }  // namespace dockrock::invariants
--- a/source/base/invariants.hpp
+++ b/source/base/invariants.hpp
@@ -43,8 +43,8 @@
 auto count(Invariant which) -> std::uint64_t;  // violations of one invariant in this process
 auto total() -> std::uint64_t;                 // of all invariants
 // Count and last description for this thread: simulators run one simulated fleet on each thread.
-auto met_on_this_thread() -> std::uint64_t;
-auto last_on_this_thread() -> std::string const&;
+auto violations_on_this_thread() -> std::uint64_t;
+auto last_violation_on_this_thread() -> std::string const&;
 auto describe(Invariant which, InvariantFacts facts) -> std::string;
 
 // Counts the violation and calls the sink; does not stop the process.
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -56,13 +56,13 @@
 TEST_CASE("a violation is counted, named and told with its facts", "[invariants]") {
     auto const expected = ExpectedViolations{Invariant::one_lease};
     auto const before = invariants::total();
-    auto const here = invariants::met_on_this_thread();
+    auto const here = invariants::violations_on_this_thread();
     CHECK(invariants::holds(Invariant::one_lease, true, InvariantFact{"term", 1}));
     CHECK(invariants::total() == before);
     CHECK_FALSE(invariants::holds(Invariant::one_lease, false, InvariantFact{"term", 7}));
     CHECK(invariants::total() == before + 1);
-    CHECK(invariants::met_on_this_thread() == here + 1);
-    CHECK(invariants::last_on_this_thread() == "one-lease term 7");
+    CHECK(invariants::violations_on_this_thread() == here + 1);
+    CHECK(invariants::last_violation_on_this_thread() == "one-lease term 7");
     auto text = std::string();
     write_violations(text);
     for (auto const name : invariant_names)
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -149,9 +149,10 @@
         auto const next = std::move(todo.front());
         todo.erase(todo.begin());
         auto const votes_before = node.partition.votes;
-        auto const met = invariants::met_on_this_thread();
+        auto const met = invariants::violations_on_this_thread();
         next(node.partition, context);
-        if (invariants::met_on_this_thread() != met) violation("code: " + invariants::last_on_this_thread());
+        if (invariants::violations_on_this_thread() != met)
+            violation("code: " + invariants::last_violation_on_this_thread());
         plant_after(setup.planted, node.partition, context, votes_before);
         for (auto& save : context.saves) {
             plant_in_save(setup.planted, save.saved, node.disk);
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -83,8 +83,9 @@
     Sequence highest_acknowledged;
     std::vector<std::string> violations;
     std::vector<std::string> trace;
-    std::uint64_t invariants_met = invariants::met_on_this_thread();  // violated so far, by the code's own checks
-    bool unchecked = false;  // something happened to the control machines since the last check
+    std::uint64_t invariants_met =
+        invariants::violations_on_this_thread();  // violated so far, by the code's own checks
+    bool unchecked = false;                       // something happened to the control machines since the last check
     // what a fleet hangs on the control machines
     std::function<void(std::size_t)> when_started;
     std::function<void(std::size_t)> when_ticked;
--- a/tests/simulation/world_checks.cpp
+++ b/tests/simulation/world_checks.cpp
@@ -178,10 +178,10 @@
 
 // What the code itself saw violated in the last event; each invariant once, to leave room for what follows of it.
 auto World::check_invariants() -> void {
-    auto const met = invariants::met_on_this_thread();
+    auto const met = invariants::violations_on_this_thread();
     if (met == invariants_met) return;
     invariants_met = met;
-    auto const& text = invariants::last_on_this_thread();
+    auto const& text = invariants::last_violation_on_this_thread();
     auto const name = "invariant " + text.substr(0, text.find(' '));
     auto const told = std::any_of(
         violations.begin(), violations.end(), [&](auto const& known) { return known.find(name) != std::string::npos; });
