--- a/source/base/text_difference.cpp
+++ b/source/base/text_difference.cpp
@@ -11,18 +11,18 @@
 
 constexpr auto gram = std::size_t{24};                               // matching bytes that end a difference
 constexpr auto windows = std::to_array<std::size_t>({512, 16'384});  // bytes searched after a difference, in turn
-constexpr auto run_most = std::size_t{4'096};                        // matching bytes counted to compare candidates
-constexpr auto edits_most = std::size_t{256};                        // beyond it the rest becomes one edit
+constexpr auto max_compared_run = std::size_t{4'096};                // matching bytes counted to compare candidates
+constexpr auto max_edits = std::size_t{256};                         // beyond it the rest becomes one edit
 constexpr auto edit_overhead = std::size_t{40};                      // bytes of one edit as JSON
 constexpr auto digest_prime = std::uint64_t{0x9e3779b97f4a7c15};
 
-auto common_front(std::string_view one, std::string_view other) -> std::size_t {
+auto common_prefix(std::string_view one, std::string_view other) -> std::size_t {
     auto const least = std::min(one.size(), other.size());
     auto const from = one.substr(0, least);
     return static_cast<std::size_t>(std::mismatch(from.begin(), from.end(), other.begin()).first - from.begin());
 }
 
-auto common_back(std::string_view one, std::string_view other) -> std::size_t {
+auto common_suffix(std::string_view one, std::string_view other) -> std::size_t {
     auto const least = std::min(one.size(), other.size());
     auto const from = one.substr(one.size() - least);
     auto const differs = std::mismatch(from.rbegin(), from.rend(), other.rbegin()).first;
@@ -68,7 +68,7 @@
 }
 
 // The first gram of `fresh` that is anywhere in `base`.
-auto find_moved(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
+auto find_anywhere(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     auto const table = GramTable(base);
     for (auto place = std::size_t{0}; place + gram <= fresh.size(); ++place) {
         auto const sought = fresh.substr(place, gram);
@@ -84,12 +84,13 @@
     auto const near_fresh = fresh.substr(0, window);
     if (near_base.size() < gram || near_fresh.size() < gram) return std::nullopt;
     auto const in_place = find_in_place(near_base, near_fresh);
-    auto const moved = find_moved(near_base, near_fresh);
+    auto const moved = find_anywhere(near_base, near_fresh);
     if (!in_place || !moved) return in_place ? in_place : moved;
-    auto const agreeing = [&](Resumption const& from) {
-        return common_front(base.substr(from.in_base, run_most), fresh.substr(from.in_fresh, run_most));
+    auto const matching_bytes = [&](Resumption const& from) {
+        return common_prefix(
+            base.substr(from.in_base, max_compared_run), fresh.substr(from.in_fresh, max_compared_run));
     };
-    return agreeing(*in_place) >= agreeing(*moved) ? in_place : moved;
+    return matching_bytes(*in_place) >= matching_bytes(*moved) ? in_place : moved;
 }
 
 // Tries the small window first, as most changes are small.
@@ -104,13 +105,13 @@
 auto edits_between(std::string_view base, std::string_view fresh) -> TextEdits {
     TextEdits edits;
     while (true) {
-        auto const kept = common_front(base, fresh);
+        auto const kept = common_prefix(base, fresh);
         if (kept == base.size() && kept == fresh.size()) return edits;
         base.remove_prefix(kept);
         fresh.remove_prefix(kept);
-        auto const resumed = edits.size() + 1 < edits_most ? find_resumption_near(base, fresh) : std::nullopt;
+        auto const resumed = edits.size() + 1 < max_edits ? find_resumption_near(base, fresh) : std::nullopt;
         if (!resumed) {
-            auto const back = common_back(base, fresh);
+            auto const back = common_suffix(base, fresh);
             edits.push_back({kept, base.size() - back, std::string(fresh.substr(0, fresh.size() - back))});
             return edits;
         }
