--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -72,7 +72,7 @@
         proposal.reset();
         return;
     }
-    if (proposal->stage == Proposal::Stage::copying && context.now - proposal->copying_since > times.copy_patience)
+    if (proposal->stage == Proposal::Stage::copying && context.now - proposal->copying_since > times.copy_timeout)
         pass_over(context);
     if (context.now - proposal->sent > times.resend_interval) send_proposal(context);
 }
@@ -161,7 +161,7 @@
         (silent <= 2 * times.heartbeat_interval || context.alive(votes.decided.leader)))
         return;
     if (rival_tried != 0 && context.now - rival_tried < 2 * times.try_interval &&
-        silent < times.leader_timeout + times.rival_patience)
+        silent < times.leader_timeout + times.rival_timeout)
         return;
     if (context.now - last_try < times.try_interval + static_cast<Microseconds>(context.random.below(try_spread)))
         return;
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -18,9 +18,9 @@
     Microseconds proposal_limit = 1'500 * one_millisecond;
     Microseconds follower_timeout = 1'000 * one_millisecond;
     Microseconds resend_interval = 400 * one_millisecond;
-    Microseconds copy_patience = 200 * one_millisecond;     // before a silent member of a new group is replaced
-    Microseconds rival_patience = 2'000 * one_millisecond;  // wait for a follower that is earlier in the record
-    Microseconds silent_memory = 5 * one_second;            // a replaced member is not preferred for this long
+    Microseconds copy_timeout = 200 * one_millisecond;     // before a silent member of a new group is replaced
+    Microseconds rival_timeout = 2'000 * one_millisecond;  // wait for a follower that is earlier in the record
+    Microseconds silent_backoff = 5 * one_second;          // a replaced member is not preferred for this long
     Microseconds disk_limit = 600 * one_millisecond;
     Microseconds spare_interval = 2 * one_second;
     Microseconds frozen_gap = 400 * one_millisecond;  // between ticks; a longer one means that the process was paused
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -61,8 +61,8 @@
     times.proposal_limit = 5 * unit;
     times.follower_timeout = 2 * unit;
     times.resend_interval = unit;
-    times.copy_patience = unit;
-    times.rival_patience = 4 * unit;
+    times.copy_timeout = unit;
+    times.rival_timeout = 4 * unit;
     times.disk_limit = 2 * unit;
     times.spare_interval = 3 * unit;
     times.frozen_gap = 2 * unit;
