--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -101,8 +101,8 @@
 // acknowledged changes; every member of the new group gets the sealed copy (design 5.6).
 auto Partition::hand_over(Context& context) -> bool {
     if (!is_leader(context.self) || !healthy) return false;
-    if (proposal || context.now - last_try < times.try_interval) return true;
-    last_try = context.now;
+    if (proposal || context.now - last_proposal_at < times.proposal_interval) return true;
+    last_proposal_at = context.now;
     auto wanted = votes.decided;
     auto lost = std::set<std::string>{context.self};
     for (auto const& follower : votes.decided.followers)
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 constexpr Microseconds waiter_limit = 3 * one_second;
-constexpr auto try_spread = std::uint64_t{60'000};  // microseconds of random jitter, so that ballots do not compete
+constexpr auto proposal_jitter =
+    std::uint64_t{60'000};  // microseconds of random jitter, so that ballots do not compete
 constexpr auto outcome_unknown = std::string_view("outcome not known; ask again under the same change identity");
 }  // namespace
 
@@ -113,7 +114,8 @@
 // this leader could get no lease.
 auto Partition::renew_group(Context& context, bool leased) -> void {
     if (proposal) return;
-    if (context.now - last_try < times.try_interval + static_cast<Microseconds>(context.random.below(try_spread)))
+    if (context.now - last_proposal_at <
+        times.proposal_interval + static_cast<Microseconds>(context.random.below(proposal_jitter)))
         return;
     auto const& record = votes.decided;
     auto wanted = record;
@@ -128,7 +130,7 @@
     auto const voters_changed = wanted.voters != record.voters && leased;
     auto const is_sealed = votes.sealed >= record.term;
     if (lost.empty() && !grows && !is_sealed && !without_lease && !voters_changed) return;
-    last_try = context.now;
+    last_proposal_at = context.now;
     propose(context, wanted);
 }
 
@@ -156,16 +158,17 @@
     auto const place = std::find(followers.begin(), followers.end(), context.self);
     auto const before =
         std::count_if(followers.begin(), place, [&](auto const& other) { return context.alive(other); });
-    auto const silent = context.now - leader_heard - before * times.try_interval;
+    auto const silent = context.now - leader_heard - before * times.proposal_interval;
     if (silent <= times.leader_timeout &&
         (silent <= 2 * times.heartbeat_interval || context.alive(votes.decided.leader)))
         return;
-    if (rival_tried != 0 && context.now - rival_tried < 2 * times.try_interval &&
+    if (rival_proposed_at != 0 && context.now - rival_proposed_at < 2 * times.proposal_interval &&
         silent < times.leader_timeout + times.rival_timeout)
         return;
-    if (context.now - last_try < times.try_interval + static_cast<Microseconds>(context.random.below(try_spread)))
+    if (context.now - last_proposal_at <
+        times.proposal_interval + static_cast<Microseconds>(context.random.below(proposal_jitter)))
         return;
-    last_try = context.now;
+    last_proposal_at = context.now;
     auto wanted = votes.decided;
     wanted.leader = context.self;
     wanted.followers.erase(wanted.followers.begin() + (place - followers.begin()));
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -14,7 +14,7 @@
     Microseconds lease_duration = 950 * one_millisecond;
     Microseconds heartbeat_interval = 200 * one_millisecond;
     Microseconds leader_timeout = 650 * one_millisecond;
-    Microseconds try_interval = 100 * one_millisecond;
+    Microseconds proposal_interval = 100 * one_millisecond;
     Microseconds proposal_limit = 1'500 * one_millisecond;
     Microseconds follower_timeout = 1'000 * one_millisecond;
     Microseconds resend_interval = 400 * one_millisecond;
@@ -118,8 +118,8 @@
     std::vector<Queued> queued;
     // follower
     Microseconds leader_heard = 0;
-    Microseconds last_try = 0;
-    Microseconds rival_tried = 0;  // when a follower earlier in the record last asked for votes
+    Microseconds last_proposal_at = 0;
+    Microseconds rival_proposed_at = 0;  // when a follower earlier in the record last asked for votes
     // proposer
     struct Proposal {
         enum class Stage : int { preparing, copying, accepting };
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -77,7 +77,7 @@
     in_flight = false;
     follow(context.now);
     leader_heard = context.now;
-    rival_tried = 0;
+    rival_proposed_at = 0;
     last_ask = 0;
     if (is_leader(context.self)) {
         if (!was_leader) leader_since = context.now;
@@ -107,7 +107,7 @@
     auto const& followers = votes.decided.followers;
     auto const place = std::find(followers.begin(), followers.end(), context.self);
     if (message.term == votes.decided.term + 1 && std::find(followers.begin(), place, from) != place)
-        rival_tried = context.now;
+        rival_proposed_at = context.now;
     if (!may) return;
     if (message.ballot < votes.promised) {
         context.sends.push_back({from, Refusal{index, message.term, votes.promised, votes.decided}});
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -57,7 +57,7 @@
     times.lease_duration = (planted == Planted::lease_longer_than_grant ? 6 : 3) * unit;
     times.heartbeat_interval = unit;
     times.leader_timeout = 2 * unit;
-    times.try_interval = unit / 2;
+    times.proposal_interval = unit / 2;
     times.proposal_limit = 5 * unit;
     times.follower_timeout = 2 * unit;
     times.resend_interval = unit;
