--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -32,7 +32,7 @@
     return lost;
 }
 
-auto Partition::silent_partners(Microseconds now) const -> std::set<std::string> {
+auto Partition::silent_members(Microseconds now) const -> std::set<std::string> {
     std::set<std::string> silent;
     for (auto const& [identity, since] : silent_since)
         if (now - since < times.silent_backoff) silent.insert(identity);
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -74,7 +74,7 @@
         return;
     }
     if (proposal->stage == Proposal::Stage::copying && context.now - proposal->copying_since > times.copy_timeout)
-        pass_over(context);
+        replace_silent_members(context);
     if (context.now - proposal->sent > times.resend_interval) send_proposal(context);
 }
 
@@ -122,7 +122,7 @@
     wanted.voters = renewed_voters(context);
     auto const lost = lost_followers(context);
     auto const too_few = leased && record.followers.size() + 1 < copies();
-    auto avoided = silent_partners(context.now);
+    auto avoided = silent_members(context.now);
     avoided.insert(lost.begin(), lost.end());
     if (!lost.empty() || too_few) wanted.followers = followers_for(context, record, avoided);
     auto const grows = wanted.followers.size() > record.followers.size();
@@ -173,7 +173,7 @@
     wanted.leader = context.self;
     wanted.followers.erase(wanted.followers.begin() + (place - followers.begin()));
     wanted.followers.push_back(votes.decided.leader);
-    auto lost = silent_partners(context.now);
+    auto lost = silent_members(context.now);
     lost.insert(votes.decided.leader);
     for (auto const& other : followers)
         if (!context.alive(other)) lost.insert(other);
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -132,9 +132,9 @@
         std::set<std::string> refusals;
         std::uint64_t seal_token = 0;  // of the save that seals the term
         bool seal_synced = false;
-        std::set<std::string> taken;        // members that hold the sealed copy
-        std::set<std::string> passed_over;  // members that did not take it in time
-        bool copied = false;                // all members of `value` hold it
+        std::set<std::string> taken;             // members that hold the sealed copy
+        std::set<std::string> replaced_members;  // members that did not take it in time
+        bool copied = false;                     // all members of `value` hold it
         Microseconds copying_since = 0;
         Ballot best;                  // highest ballot of an accepted record among the promises,
         std::optional<Record> found;  // and that record
@@ -204,7 +204,7 @@
     auto begin_copying(Context& context) -> void;
     auto begin_accepting(Context& context) -> void;
     auto copies_taken(Context& context) -> void;
-    auto pass_over(Context& context) -> void;
+    auto replace_silent_members(Context& context) -> void;
     auto send_proposal(Context& context) -> void;
     auto fly(Context& context) -> void;
     auto send_flight(Context& context) -> void;
@@ -232,7 +232,7 @@
     auto tick_claims(Context& context) -> void;
     auto claims_under_new_record(Context& context) -> void;
     auto lost_followers(Context& context) const -> std::set<std::string>;
-    auto silent_partners(Microseconds now) const -> std::set<std::string>;
+    auto silent_members(Microseconds now) const -> std::set<std::string>;
     auto followers_for(Context& context, Record const& from, std::set<std::string> const& lost) const
         -> std::vector<std::string>;
     auto renewed_voters(Context& context) const -> std::vector<std::string>;
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -115,16 +115,16 @@
 
 // No voter was asked to accept yet, so a member that stays silent may still be replaced under
 // the same ballot. Members that answered, even late, are preferred to ones that must be asked.
-auto Partition::pass_over(Context& context) -> void {
+auto Partition::replace_silent_members(Context& context) -> void {
     proposal->copying_since = context.now;
-    for (auto const& member : proposal->value.followers) proposal->passed_over.insert(member);
-    std::erase_if(proposal->passed_over, [&](auto const& member) { return proposal->taken.contains(member); });
-    if (proposal->passed_over.empty()) return;
-    for (auto const& member : proposal->passed_over) silent_since[member] = context.now;
+    for (auto const& member : proposal->value.followers) proposal->replaced_members.insert(member);
+    std::erase_if(proposal->replaced_members, [&](auto const& member) { return proposal->taken.contains(member); });
+    if (proposal->replaced_members.empty()) return;
+    for (auto const& member : proposal->replaced_members) silent_since[member] = context.now;
     auto from = proposal->value;
     from.followers.assign(proposal->taken.begin(), proposal->taken.end());
     for (auto const& member : proposal->value.followers) from.followers.push_back(member);
-    proposal->value.followers = followers_for(context, from, proposal->passed_over);
+    proposal->value.followers = followers_for(context, from, proposal->replaced_members);
     copies_taken(context);
     if (proposal->stage == Proposal::Stage::copying) send_proposal(context);
 }
