--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -81,9 +81,9 @@
 // A leader that has had no lease for the duration of a grant reports it, so that voters and followers can turn to
 // another; once enough answers arrive in time, it asks for grants again.
 auto Partition::ask_for_lease(Context& context) -> void {
-    last_ask = context.now;
-    auto const hopeful = leased_lately(context.now) || lease_by(heard) > context.now;
-    auto const without = hopeful ? std::nullopt : std::optional(true);
+    lease_requested_at = context.now;
+    auto const lease_possible = recently_leased(context.now) || lease_by(heard) > context.now;
+    auto const without = lease_possible ? std::nullopt : std::optional(true);
     for (auto const& voter : votes.decided.voters)
         context.sends.push_back({voter, LeaseRequest{index, votes.decided, context.now, without}});
     for (auto const& follower : votes.decided.followers)
@@ -104,7 +104,7 @@
 }
 
 auto Partition::resend_flight(Context& context) -> void {
-    if (!in_flight || !leased_lately(context.now) || context.now - flown_at <= times.resend_interval) return;
+    if (!in_flight || !recently_leased(context.now) || context.now - flown_at <= times.resend_interval) return;
     flown_at = context.now;
     sent_flight = false;
     settle(context);
@@ -126,7 +126,7 @@
     avoided.insert(lost.begin(), lost.end());
     if (!lost.empty() || too_few) wanted.followers = followers_for(context, record, avoided);
     auto const grows = wanted.followers.size() > record.followers.size();
-    auto const without_lease = !leased_lately(context.now);
+    auto const without_lease = !recently_leased(context.now);
     auto const voters_changed = wanted.voters != record.voters && leased;
     auto const is_sealed = votes.sealed >= record.term;
     if (lost.empty() && !grows && !is_sealed && !without_lease && !voters_changed) return;
@@ -135,7 +135,7 @@
 }
 
 auto Partition::leader_tick(Context& context) -> void {
-    if (context.now - last_ask >= times.heartbeat_interval || last_ask == 0) {
+    if (context.now - lease_requested_at >= times.heartbeat_interval || lease_requested_at == 0) {
         ask_for_lease(context);
         if (committed && context.now - last_spare > times.spare_interval) sweep_spares(context);
     }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -84,7 +84,7 @@
     // leader
     std::map<std::string, Microseconds> grants;  // voter -> asked_at of its newest grant
     std::map<std::string, Microseconds> heard;   // voter -> asked_at of its newest answer, granted or not
-    Microseconds last_ask = 0;
+    Microseconds lease_requested_at = 0;
     Microseconds leader_since = 0;
     bool in_flight = false;    // a copy is being replicated
     bool sent_flight = false;  // it was sent to the followers, which happens after it is synced here
@@ -189,7 +189,7 @@
     auto may_vote(Context& context, std::string const& from, std::uint64_t term, Record const& proof) -> bool;
     auto disk_late(Microseconds now) const -> bool;
     auto lease_by(std::map<std::string, Microseconds> const& answers) const -> Microseconds;
-    auto leased_lately(Microseconds now) const -> bool { return now - leader_since <= times.grant_duration; }
+    auto recently_leased(Microseconds now) const -> bool { return now - leader_since <= times.grant_duration; }
     auto ask_for_lease(Context& context) -> void;
     auto step_down(Context& context) -> void;
     auto tell_outcomes_unknown(Context& context) -> void;
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -78,7 +78,7 @@
     follow(context.now);
     leader_heard = context.now;
     rival_proposed_at = 0;
-    last_ask = 0;
+    lease_requested_at = 0;
     if (is_leader(context.self)) {
         if (!was_leader) leader_since = context.now;
     } else {
@@ -168,7 +168,7 @@
     auto& answered = heard[from];
     answered = std::max(answered, message.asked_at);
     if (message.withheld.value_or(false)) {
-        if (message.asked_at == last_ask) last_ask = 0;  // answered in time: ask again at once
+        if (message.asked_at == lease_requested_at) lease_requested_at = 0;  // answered in time: ask again at once
         return;
     }
     auto& newest = grants[from];
