--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -15,7 +15,7 @@
     return std::all_of(progress.begin(), progress.end(), [&](auto const& item) { return item.second.has >= sequence; });
 }
 
-auto Partition::follow(Microseconds now) -> void {
+auto Partition::reset_progress(Microseconds now) -> void {
     progress.clear();
     for (auto const& follower : votes.decided.followers) progress[follower] = {now, {}};
 }
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -75,7 +75,7 @@
     grants.clear();
     heard.clear();
     in_flight = false;
-    follow(context.now);
+    reset_progress(context.now);
     leader_heard = context.now;
     rival_proposed_at = 0;
     lease_requested_at = 0;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -51,7 +51,7 @@
         if (saved_part.partition < 0 || saved_part.partition >= static_cast<int>(partition_count)) continue;
         auto& partition = partitions[static_cast<std::size_t>(saved_part.partition)];
         partition.votes = saved_part.votes;
-        partition.follow(now);
+        partition.reset_progress(now);
         partition.claims.load(saved_part.claims, now);
         if (saved_part.copy) {
             partition.copy = *saved_part.copy;
--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -18,7 +18,7 @@
 auto leader() -> Partition {
     Partition partition;
     partition.votes.decided = Record{2, self, {"b"}, {"a", "b", "c", "d"}};
-    partition.follow(now);
+    partition.reset_progress(now);
     partition.copy.sequence = partition.synced = partition.progress["b"].has = {2, 5};
     partition.committed = partition.copy;
     for (auto const* voter : {"a", "b"}) partition.grants[voter] = now - partition.times.lease_duration + 1;
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -80,7 +80,7 @@
         node.partition = fresh_partition(setup, node, now);
         if (index < setup.nodes) {
             node.partition.votes.decided = record;
-            node.partition.follow(now);
+            node.partition.reset_progress(now);
             node.disk.votes = node.partition.votes;
             node.disk.copy = node.partition.copy;
             node.disk_blank = false;
--- a/tests/model/world_steps.cpp
+++ b/tests/model/world_steps.cpp
@@ -89,7 +89,7 @@
         if (node.disk_blank) return;
         partition.vote_from = now + partition.times.grant_duration;
         partition.votes = node.disk.votes;
-        partition.follow(now);
+        partition.reset_progress(now);
         if (node.disk.copy) partition.copy = *node.disk.copy;
         partition.synced = partition.copy.sequence;
     });
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -64,7 +64,7 @@
         control.membership.self.control_address = "127.0.0.1:1";
         machine().machines_lost = 1;
         machine().votes.decided = Record{1, "a", {"b"}, {"a", "b", "c", "d"}};
-        machine().follow(clock_now());
+        machine().reset_progress(clock_now());
         hold("first-document", 1);
         grant(clock_now() + 60 * one_second);  // stays while the test lasts
     }
--- a/tests/partition_test.cpp
+++ b/tests/partition_test.cpp
@@ -23,7 +23,7 @@
         partition.machines_lost = followers.size();
         partition.core_count = 5;
         partition.votes.decided = Record{1, "a", followers, {"a", "b", "c", "d", "e"}};
-        partition.follow(begun);
+        partition.reset_progress(begun);
         partition.leader_heard = partition.leader_since = begun;
         lease(begun);
         with([](auto& machine, auto& context) { machine.tick(context); });
