--- a/source/connection/losses.cpp
+++ b/source/connection/losses.cpp
@@ -24,7 +24,7 @@
         else if (!lives(record.leader)) told("the leader is lost");
         else if (!std::all_of(record.followers.begin(), record.followers.end(), lives))
             told(record.followers.size() == 1 ? "the follower is lost" : "a follower is lost");
-        else if (record.followers.size() + 1 < control.partitions[index].copies()) told("too few followers");
+        else if (record.followers.size() + 1 < control.partitions[index].group_size()) told("too few followers");
         else if (voters < majority_of(record.voters.size()) + 1) told("too few voters live");
         else if (control.proof_age(number, now) > control.times.proof_limit) told("no proof of a leased leader");
     }
--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -6,7 +6,7 @@
 
 namespace dockrock {
 
-auto Partition::copies() const -> std::size_t {
+auto Partition::group_size() const -> std::size_t {
     auto const count = core_count != 0 ? core_count : votes.decided.voters.size();
     return count == 0 ? machines_lost + 1 : std::min(machines_lost + 1, majority_of(count));
 }
@@ -22,7 +22,7 @@
 
 auto Partition::lost_followers(Context& context) const -> std::set<std::string> {
     std::set<std::string> lost;
-    auto const others_stay = context.cores().size() >= copies();
+    auto const others_stay = context.cores().size() >= group_size();
     for (auto const& [identity, follower] : progress) {
         if (others_stay && context.leaving(identity)) lost.insert(identity);
         auto const silent = context.now - follower.heard;
@@ -53,13 +53,13 @@
     auto chosen = Record{0, from.leader, {}, {}};
     auto areas = std::set<std::string>{area_of(from.leader)};
     auto const take = [&](std::string const& identity) {
-        if (chosen.followers.size() + 1 >= copies() || chosen.has_member(identity)) return;
+        if (chosen.followers.size() + 1 >= group_size() || chosen.has_member(identity)) return;
         chosen.followers.push_back(identity);
         areas.insert(area_of(identity));
     };
     for (auto const& identity : from.followers)
         if (!lost.contains(identity)) take(identity);
-    while (chosen.followers.size() + 1 < copies()) {
+    while (chosen.followers.size() + 1 < group_size()) {
         std::vector<std::string> same_area;
         std::vector<std::string> other_area;
         for (auto const& member : cores) {
@@ -116,7 +116,7 @@
     others = followers_for(context, wanted, lost);
     wanted.voters = renewed_voters(context);
     auto const living = [&](auto const& item) { return context.alive(item); };
-    if (others.size() + 1 < copies() || !std::all_of(others.begin(), others.end(), living)) return false;
+    if (others.size() + 1 < group_size() || !std::all_of(others.begin(), others.end(), living)) return false;
     propose(context, wanted);
     return true;
 }
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -121,7 +121,7 @@
     auto wanted = record;
     wanted.voters = renewed_voters(context);
     auto const lost = lost_followers(context);
-    auto const too_few = leased && record.followers.size() + 1 < copies();
+    auto const too_few = leased && record.followers.size() + 1 < group_size();
     auto avoided = silent_members(context.now);
     avoided.insert(lost.begin(), lost.end());
     if (!lost.empty() || too_few) wanted.followers = followers_for(context, record, avoided);
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -37,7 +37,7 @@
     auto const* leader = membership.find(wanted.leader);
     auto areas = std::set<std::string>{leader != nullptr ? leader->area : ""};
     for (auto spread : {true, false})
-        for (auto step = std::size_t{1}; step < count && wanted.followers.size() + 1 < partition.copies(); ++step) {
+        for (auto step = std::size_t{1}; step < count && wanted.followers.size() + 1 < partition.group_size(); ++step) {
             auto const& identity = voters[(place + step) % count];
             auto const* other = membership.find(identity);
             if (wanted.has_member(identity) || (spread && (other == nullptr || areas.contains(other->area)))) continue;
@@ -142,7 +142,7 @@
         auto const votes_here = [&](std::string const& identity) {
             return std::find(record.voters.begin(), record.voters.end(), identity) != record.voters.end();
         };
-        if (record.has_member(membership.self.identity) && staying.size() >= partition.copies()) return true;
+        if (record.has_member(membership.self.identity) && staying.size() >= partition.group_size()) return true;
         auto const spare = std::any_of(
             staying.begin(), staying.end(), [&](auto const& member) { return !votes_here(member.identity); });
         if (votes_here(membership.self.identity) && spare) return true;
--- a/tests/forming_test.cpp
+++ b/tests/forming_test.cpp
@@ -178,13 +178,13 @@
     Partition partition;
     partition.machines_lost = 2;
     partition.core_count = 0;
-    CHECK(partition.copies() == 3);  // nothing known yet
+    CHECK(partition.group_size() == 3);  // nothing known yet
     partition.votes.decided.voters = {"a", "b", "c"};
-    CHECK(partition.copies() == 2);
+    CHECK(partition.group_size() == 2);
     partition.votes.decided.voters = {"a", "b", "c", "d", "e"};
-    CHECK(partition.copies() == 3);
+    CHECK(partition.group_size() == 3);
     partition.core_count = 1;
-    CHECK(partition.copies() == 1);
+    CHECK(partition.group_size() == 1);
 }
 
 TEST_CASE("a core node added to a whole fleet stays a spare") {
