--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -44,7 +44,7 @@
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
     flown_at = context.now;
     sent_flight = false;
-    settle(context);
+    advance_commit(context);
 }
 
 auto Partition::send_flight(Context& context) -> void {
@@ -56,7 +56,7 @@
     }
 }
 
-auto Partition::settle(Context& context) -> void {
+auto Partition::advance_commit(Context& context) -> void {
     if (!in_flight || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     if (synced < flying.sequence) return;
     if (!sent_flight) {
@@ -76,7 +76,7 @@
         return true;
     });
     if (copy.sequence > committed->sequence) fly(context);
-    take_queued(context);
+    process_queued(context);
 }
 
 auto Partition::call(Context& context, std::string const& origin, std::uint64_t token, Call const& asked) -> void {
@@ -88,10 +88,10 @@
         return;
     }
     queued.push_back({origin, token, asked, context.now});
-    take_queued(context);
+    process_queued(context);
 }
 
-auto Partition::take_queued(Context& context) -> void {
+auto Partition::process_queued(Context& context) -> void {
     if (queued.empty()) return;
     // Changes wait for the first copy of the current term: in the sequences of the term before,
     // a former leader may have assigned the next one to a change that was never acknowledged.
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -137,11 +137,11 @@
     claims.flying = false;
     claims.flown.clear();
     if (claims.whole_flies) claims.whole_needed = false;
-    settle_claims(context);
+    answer_claim_waiters(context);
     fly_claims(context);
 }
 
-auto Partition::settle_claims(Context& context) -> void {
+auto Partition::answer_claim_waiters(Context& context) -> void {
     std::erase_if(claims.waiters, [&](auto const& waiter) {
         auto const found = claims.held.find(waiter.key);
         auto const mine = found != claims.held.end() && found->second.ticket == waiter.ticket;
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -107,7 +107,7 @@
     if (!in_flight || !recently_leased(context.now) || context.now - flown_at <= times.resend_interval) return;
     flown_at = context.now;
     sent_flight = false;
-    settle(context);
+    advance_commit(context);
 }
 
 // Proposes a new term where a member is lost, the term is sealed, the group can grow, the voters must change, or
@@ -145,7 +145,7 @@
         if (leased && !in_flight) open_term(context);
         resend_flight(context);
     }
-    take_queued(context);
+    process_queued(context);
     expire_waiters(context, outcome_unknown);
     renew_group(context, leased);
 }
@@ -237,7 +237,7 @@
         follower.lacks_base = true;
         context.sends.push_back({from, Append{index, votes.decided, flying}});
     }
-    settle(context);
+    advance_commit(context);
 }
 
 }  // namespace dockrock
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -212,8 +212,8 @@
     auto offer_spare(Context& context, std::string const& spare, Appended const& answer) -> void;
     auto takes_offers(std::string const& from, std::string const& self, Record const& record) const -> bool;
     auto takes_appends(std::string const& from, std::string const& self, Record const& record) const -> bool;
-    auto settle(Context& context) -> void;
-    auto take_queued(Context& context) -> void;
+    auto advance_commit(Context& context) -> void;
+    auto process_queued(Context& context) -> void;
     // Keeps in `before` the copy as it was before the first change.
     auto change(Context& context, Queued const& item, std::optional<Copy>& before) -> void;
     auto read_copy(Context& context, Queued const& item) -> void;
@@ -228,7 +228,7 @@
     auto fly_claims(Context& context) -> void;
     auto send_claims(Context& context) -> void;
     auto claims_flown(Context& context) -> void;
-    auto settle_claims(Context& context) -> void;
+    auto answer_claim_waiters(Context& context) -> void;
     auto tick_claims(Context& context) -> void;
     auto claims_under_new_record(Context& context) -> void;
     auto lost_followers(Context& context) const -> std::set<std::string>;
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -47,7 +47,7 @@
     saving.erase(found);
     if (kept.copy_sequence) synced = *kept.copy_sequence;  // saves complete in order
     for (auto& item : kept.after) context.sends.push_back(std::move(item));
-    settle(context);
+    advance_commit(context);
     claims_saved(context, token);
     if (!proposal || proposal->stage != Proposal::Stage::copying || token != proposal->seal_token) return;
     proposal->seal_synced = true;
@@ -173,7 +173,7 @@
     }
     auto& newest = grants[from];
     newest = std::max(newest, message.asked_at);
-    settle(context);
+    advance_commit(context);
 }
 
 auto Partition::lease_until(std::string const& self) const -> Microseconds {
