--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -7,8 +7,8 @@
 namespace dockrock {
 
 namespace {
-constexpr auto outcomes_kept = std::size_t{1024};
-constexpr auto queue_limit = std::size_t{256};
+constexpr auto max_outcomes = std::size_t{1024};
+constexpr auto max_queue_length = std::size_t{256};
 
 // An error that does not depend on the current version (neither 200 nor 412) carries no ETag.
 auto etag_told(int status, Sequence const& sequence) -> std::string {
@@ -80,7 +80,7 @@
 }
 
 auto Partition::call(Context& context, std::string const& origin, std::uint64_t token, Call const& asked) -> void {
-    if (!is_leader(context.self) || queued.size() >= queue_limit) {
+    if (!is_leader(context.self) || queued.size() >= max_queue_length) {
         context.done.push_back(
             {origin, token, 503,
              error_body(is_leader(context.self) ? "too many changes waiting" : "not the leader of this partition"),
@@ -109,7 +109,7 @@
         auto const readable =
             committed && has_lease(context.self, context.now) && (own_term || item.call.operation == "get");
         if (reads ? readable : ready) change(context, item, before);
-        else if (context.now - item.since > queued_limit)
+        else if (context.now - item.since > max_queue_wait)
             context.done.push_back(
                 {item.origin, item.token, 503, error_body("no leased leader now; nothing was changed"), ""});
         else queued.push_back(std::move(item));
@@ -170,7 +170,7 @@
     // In the current term: a sequence of an earlier term may have been assigned to a change that was lost.
     copy.sequence = Sequence{votes.decided.term, copy.sequence.number + 1};
     copy.outcomes.push_back({item.call.identity, copy.sequence, digest});
-    if (copy.outcomes.size() > outcomes_kept) copy.outcomes.erase(copy.outcomes.begin());
+    if (copy.outcomes.size() > max_outcomes) copy.outcomes.erase(copy.outcomes.begin());
     auto body = outcome_body(item.call.identity, "acknowledged", copy.sequence);
     waiters.push_back({item.origin, item.token, copy.sequence, 200, std::move(body), now});
 }
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -37,7 +37,7 @@
     if (taken && !mine) return answer_claim(context, origin, ask.token, ClaimState::seen);
     if (mine && claims.settled(ask.key)) return answer_claim(context, origin, ask.token, ClaimState::granted);
     if (!mine) {
-        if (claims.held.size() >= claims_kept) return answer_claim(context, origin, ask.token, ClaimState::full);
+        if (claims.held.size() >= max_claims) return answer_claim(context, origin, ask.token, ClaimState::full);
         claims.put(ask.key, ask.ticket, context.now, false);
         claims.fresh.insert(ask.key);
     }
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -9,7 +9,7 @@
 namespace dockrock {
 
 inline constexpr Microseconds claim_retention = 1'200 * one_second;
-inline constexpr auto claims_kept = std::size_t{65'536};
+inline constexpr auto max_claims = std::size_t{65'536};
 inline constexpr auto claim_text_limit = std::size_t{64};
 
 struct Claim {
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -35,7 +35,7 @@
 
 auto Partition::expire_queued(Context& context, std::string_view reason) -> void {
     std::erase_if(queued, [&](auto const& item) {
-        if (context.now - item.since <= queued_limit) return false;
+        if (context.now - item.since <= max_queue_wait) return false;
         context.done.push_back({item.origin, item.token, 503, error_body(reason), ""});
         return true;
     });
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -26,7 +26,7 @@
     Microseconds frozen_gap = 400 * one_millisecond;  // between ticks; a longer one means that the process was paused
 };
 
-inline constexpr Microseconds queued_limit = 2'500 * one_millisecond;  // maximum wait of a call in the queue
+inline constexpr Microseconds max_queue_wait = 2'500 * one_millisecond;  // maximum wait of a call in the queue
 
 // Status of a read whose caller already holds the newest document, by `Call::if_match`.
 inline constexpr auto not_modified = 304;
