--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -11,7 +11,7 @@
 constexpr auto max_queue_length = std::size_t{256};
 
 // An error that does not depend on the current version (neither 200 nor 412) carries no ETag.
-auto etag_told(int status, Sequence const& sequence) -> std::string {
+auto etag_for(int status, Sequence const& sequence) -> std::string {
     return status == 200 || status == 412 ? etag_of(sequence) : std::string();
 }
 
@@ -70,7 +70,7 @@
     in_flight = false;
     std::erase_if(waiters, [&](auto const& waiter) {
         if (waiter.sequence > committed->sequence) return false;
-        auto const etag = etag_told(waiter.status, waiter.sequence);
+        auto const etag = etag_for(waiter.status, waiter.sequence);
         context.done.push_back(
             checked_outcome(*this, waiter.sequence, {waiter.origin, waiter.token, waiter.status, waiter.body, etag}));
         return true;
@@ -130,7 +130,7 @@
 }
 
 // Answers the state of a change by its identity: acknowledged, under way, or not known.
-auto Partition::tell_outcome(Context& context, Queued const& item) -> void {
+auto Partition::answer_outcome(Context& context, Queued const& item) -> void {
     auto const& identity = item.call.identity;
     auto const done = find_outcome(copy, identity);
     if (done == copy.outcomes.end()) {
@@ -159,7 +159,7 @@
 // A refusal is answered only once the copy that it rests on is committed: an uncommitted change may still be lost.
 auto Partition::refuse_change(Context& context, Queued const& item, int status, std::string body) -> void {
     if (copy.sequence <= committed->sequence) {
-        auto etag = etag_told(status, copy.sequence);
+        auto etag = etag_for(status, copy.sequence);
         return context.done.push_back({item.origin, item.token, status, std::move(body), std::move(etag)});
     }
     waiters.push_back({item.origin, item.token, copy.sequence, status, std::move(body), context.now});
@@ -178,7 +178,7 @@
 auto Partition::change(Context& context, Queued const& item, std::optional<Copy>& before) -> void {
     auto const& asked = item.call;
     if (asked.operation == "get") return read_copy(context, item);
-    if (asked.operation == "outcome") return tell_outcome(context, item);
+    if (asked.operation == "outcome") return answer_outcome(context, item);
     auto const digest = digest_of(asked);
     auto const done = find_outcome(copy, asked.identity);
     if (done != copy.outcomes.end()) return repeat_change(context, item, *done, digest);
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 // Answers 504 to all callers that wait for a commit.
-auto Partition::tell_outcomes_unknown(Context& context) -> void {
+auto Partition::answer_outcomes_unknown(Context& context) -> void {
     for (auto const& waiter : waiters)
         context.done.push_back({waiter.origin, waiter.token, 504, error_body(outcome_unknown), ""});
     waiters.clear();
@@ -25,7 +25,7 @@
     offered.reset();
     offered_change.reset();
     in_flight = false;
-    tell_outcomes_unknown(context);
+    answer_outcomes_unknown(context);
     for (auto const& item : queued)
         context.done.push_back(
             {item.origin, item.token, 503, error_body("the leader of this partition changed; nothing was changed"),
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -192,7 +192,7 @@
     auto recently_leased(Microseconds now) const -> bool { return now - leader_since <= times.grant_duration; }
     auto ask_for_lease(Context& context) -> void;
     auto step_down(Context& context) -> void;
-    auto tell_outcomes_unknown(Context& context) -> void;
+    auto answer_outcomes_unknown(Context& context) -> void;
     auto expire_queued(Context& context, std::string_view reason) -> void;
     auto expire_waiters(Context& context, std::string_view reason) -> void;
     auto leader_tick(Context& context) -> void;
@@ -217,7 +217,7 @@
     // Keeps in `before` the copy as it was before the first change.
     auto change(Context& context, Queued const& item, std::optional<Copy>& before) -> void;
     auto read_copy(Context& context, Queued const& item) -> void;
-    auto tell_outcome(Context& context, Queued const& item) -> void;
+    auto answer_outcome(Context& context, Queued const& item) -> void;
     auto repeat_change(Context& context, Queued const& item, Outcome const& done, std::uint64_t digest) -> void;
     auto refuse_change(Context& context, Queued const& item, int status, std::string body) -> void;
     auto make_change(Queued const& item, std::string document, std::uint64_t digest, Microseconds now) -> void;
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -88,7 +88,7 @@
     votes.sealed = std::max(votes.sealed, term);
     if (proposal && proposal->ballot.node != from) proposal.reset();
     copy = message.copy;
-    tell_outcomes_unknown(context);  // this node's own changes as leader may not be in it
+    answer_outcomes_unknown(context);  // this node's own changes as leader may not be in it
     claims.drop_fresh();
     claims.take(read_claims(message.claims), context.now, true);
     save(context, true, {{from, CopyTaken{index, term, message.ballot}}});
