--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Microseconds claim_wait_limit = 3 * one_second;
-constexpr auto lines_between_wholes = std::size_t{8'192};
+constexpr auto max_lines_between_snapshots = std::size_t{8'192};
 }  // namespace
 
 auto Partition::answer_claim(Context& context, std::string const& origin, std::uint64_t token, ClaimState state)
@@ -29,7 +29,7 @@
     if (ask.release) {
         if (mine) {
             claims.put(ask.key, "-", context.now, false);
-            claims.fresh.insert(ask.key);
+            claims.unsaved.insert(ask.key);
             push_claims(context);
         }
         return answer_claim(context, origin, ask.token, ClaimState::granted);
@@ -39,7 +39,7 @@
     if (!mine) {
         if (claims.held.size() >= max_claims) return answer_claim(context, origin, ask.token, ClaimState::full);
         claims.put(ask.key, ask.ticket, context.now, false);
-        claims.fresh.insert(ask.key);
+        claims.unsaved.insert(ask.key);
     }
     claims.waiters.push_back({origin, ask.token, ask.key, ask.ticket, context.now});
     push_claims(context);
@@ -47,20 +47,20 @@
 
 // Only one save is in progress at a time: claims that come in the meantime share the next sync (group commit).
 auto Partition::push_claims(Context& context) -> void {
-    if (claims.save_token != 0 || claims.fresh.empty()) return fly_claims(context);
+    if (claims.save_token != 0 || claims.unsaved.empty()) return fly_claims(context);
     std::string text;
-    for (auto const& key : claims.fresh) text += write_claim(key, claims.held[key], context.now);
-    claims.logged += claims.fresh.size();
-    claims.saving.swap(claims.fresh);
-    claims.fresh.clear();
+    for (auto const& key : claims.unsaved) text += write_claim(key, claims.held[key], context.now);
+    claims.logged += claims.unsaved.size();
+    claims.saving.swap(claims.unsaved);
+    claims.unsaved.clear();
     claims.save_token = save_claims(context, text, {});
 }
 
 auto Partition::save_claims(Context& context, std::string text, std::vector<IdentifiedMessage> after) -> std::uint64_t {
     auto const token = save(context, false, std::move(after));
     auto& saved = context.saves.back().saved;
-    saved.claims_whole = claims.logged > lines_between_wholes + claims.held.size();
-    saved.claims = saved.claims_whole ? claims.whole(context.now, false) : std::move(text);
+    saved.claims_whole = claims.logged > max_lines_between_snapshots + claims.held.size();
+    saved.claims = saved.claims_whole ? claims.write_all(context.now, false) : std::move(text);
     if (saved.claims_whole) claims.logged = claims.held.size();
     return token;
 }
@@ -70,7 +70,7 @@
     claims.save_token = 0;
     for (auto const& key : claims.saving) {
         if (auto const found = claims.held.find(key); found != claims.held.end())
-            found->second.synced = !claims.fresh.contains(key);
+            found->second.synced = !claims.unsaved.contains(key);
         claims.to_fly.insert(key);
     }
     claims.saving.clear();
@@ -84,12 +84,12 @@
     if (claims.flying || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.flown.clear();
     for (auto const& key : claims.to_fly)
-        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.flown.insert(key);
+        if (!claims.unsaved.contains(key) && !claims.saving.contains(key)) claims.flown.insert(key);
     if (claims.flown.empty() && !claims.whole_needed) return;
     for (auto const& key : claims.flown) claims.to_fly.erase(key);
     claims.whole_flies = claims.whole_needed;
     claims.flight.clear();
-    if (claims.whole_needed) claims.flight = claims.whole(context.now, true);
+    if (claims.whole_needed) claims.flight = claims.write_all(context.now, true);
     else
         for (auto const& key : claims.flown)
             if (auto const found = claims.held.find(key); found != claims.held.end())
@@ -165,7 +165,7 @@
 auto Partition::claims_under_new_record(Context& context) -> void {
     claims.newest_flight = {0, 0};
     claims.flying = false;
-    if (!is_leader(context.self)) return claims.stand_back();
+    if (!is_leader(context.self)) return claims.reset_leader_state();
     claims.whole_needed = true;
     for (auto const& key : claims.flown) claims.to_fly.insert(key);
     claims.flown.clear();
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-auto ClaimTable::whole(Microseconds now, bool only_synced) const -> std::string {
+auto ClaimTable::write_all(Microseconds now, bool only_synced) const -> std::string {
     std::string text;
     for (auto const& [key, claim] : held)
         if (claim.synced || !only_synced) text += write_claim(key, claim, now);
@@ -58,18 +58,18 @@
 }
 
 auto ClaimTable::settled(std::string const& key) const -> bool {
-    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
+    return !whole_needed && !unsaved.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
         !flown.contains(key);
 }
 
-auto ClaimTable::drop_fresh() -> void {
-    for (auto const& key : fresh) held.erase(key);
-    std::erase_if(waiters, [&](auto const& waiter) { return fresh.contains(waiter.key); });
-    fresh.clear();
+auto ClaimTable::drop_unsaved() -> void {
+    for (auto const& key : unsaved) held.erase(key);
+    std::erase_if(waiters, [&](auto const& waiter) { return unsaved.contains(waiter.key); });
+    unsaved.clear();
 }
 
-auto ClaimTable::stand_back() -> void {
-    drop_fresh();
+auto ClaimTable::reset_leader_state() -> void {
+    drop_unsaved();
     waiters.clear();
     to_fly.clear();
     flown.clear();
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -33,8 +33,8 @@
     std::uint64_t life = 0;                                  // this node's incarnation
     std::size_t logged = 0;  // claim lines on disk, including those of the last snapshot
     // leader
-    std::set<std::string> fresh;   // keys not yet given to the disk
-    std::set<std::string> saving;  // keys being written to the disk
+    std::set<std::string> unsaved;  // keys not yet given to the disk
+    std::set<std::string> saving;   // keys being written to the disk
     std::uint64_t save_token = 0;
     std::set<std::string> to_fly;  // keys synced here, not yet sent to followers
     std::set<std::string> flown;   // keys in the batch being replicated
@@ -60,10 +60,10 @@
     auto take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void;
     auto put(std::string const& key, std::string ticket, Microseconds at, bool synced) -> void;
     auto expire(Microseconds now) -> void;
-    auto whole(Microseconds now, bool only_synced) const -> std::string;  // all claims, as lines
-    auto settled(std::string const& key) const -> bool;                   // synced here and at all followers
-    auto drop_fresh() -> void;  // claims on no disk: they were never acknowledged, so they may be dropped
-    auto stand_back() -> void;  // on losing leadership
+    auto write_all(Microseconds now, bool only_synced) const -> std::string;  // all claims, as lines
+    auto settled(std::string const& key) const -> bool;                       // synced here and at all followers
+    auto drop_unsaved() -> void;        // claims on no disk: they were never acknowledged, so they may be dropped
+    auto reset_leader_state() -> void;  // on losing leadership
 };
 
 }  // namespace dockrock
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -150,7 +150,7 @@
     auto all_have(Sequence const& sequence) const -> bool;
     // Size of a group: the losses to tolerate plus one, but at most a majority of the voters (design 5).
     auto group_size() const -> std::size_t;
-    auto reset_progress(Microseconds now) -> void;  // resets the progress of the followers
+    auto reset_progress(Microseconds now) -> void;  // of the followers, under a new record
     auto lease_until(std::string const& self) const -> Microseconds;
     auto has_lease(std::string const& self, Microseconds now) const -> bool;
 
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -29,7 +29,8 @@
     proposal->sent = context.now;
     auto const term = votes.decided.term + 1;
     if (proposal->stage == Proposal::Stage::copying) {
-        auto const offer = CopyOffer{index, votes.decided, proposal->ballot, copy, claims.whole(context.now, false)};
+        auto const offer =
+            CopyOffer{index, votes.decided, proposal->ballot, copy, claims.write_all(context.now, false)};
         for (auto const& member : members_of(proposal->value))
             if (member != context.self && !proposal->taken.contains(member)) context.sends.push_back({member, offer});
         return;
@@ -67,7 +68,7 @@
     proposal->stage = Proposal::Stage::copying;
     proposal->sent = proposal->copying_since = context.now;
     votes.sealed = std::max(votes.sealed, votes.decided.term);
-    claims.drop_fresh();
+    claims.drop_unsaved();
     proposal->seal_token = save(context, true, {});
     send_proposal(context);  // the copy is sent while the seal is synced; accepting waits for both
     copies_taken(context);
@@ -89,7 +90,7 @@
     if (proposal && proposal->ballot.node != from) proposal.reset();
     copy = message.copy;
     answer_outcomes_unknown(context);  // this node's own changes as leader may not be in it
-    claims.drop_fresh();
+    claims.drop_unsaved();
     claims.take(read_claims(message.claims), context.now, true);
     save(context, true, {{from, CopyTaken{index, term, message.ballot}}});
     context.saves.back().saved.claims = message.claims;
