--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -35,7 +35,7 @@
         return answer_claim(context, origin, ask.token, ClaimState::granted);
     }
     if (taken && !mine) return answer_claim(context, origin, ask.token, ClaimState::seen);
-    if (mine && claims.settled(ask.key)) return answer_claim(context, origin, ask.token, ClaimState::granted);
+    if (mine && claims.is_replicated(ask.key)) return answer_claim(context, origin, ask.token, ClaimState::granted);
     if (!mine) {
         if (claims.held.size() >= max_claims) return answer_claim(context, origin, ask.token, ClaimState::full);
         claims.put(ask.key, ask.ticket, context.now, false);
@@ -145,7 +145,7 @@
     std::erase_if(claims.waiters, [&](auto const& waiter) {
         auto const found = claims.held.find(waiter.key);
         auto const mine = found != claims.held.end() && found->second.ticket == waiter.ticket;
-        if (mine && !claims.settled(waiter.key)) return false;
+        if (mine && !claims.is_replicated(waiter.key)) return false;
         answer_claim(context, waiter.origin, waiter.token, mine ? ClaimState::granted : ClaimState::not_here);
         return true;
     });
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -57,7 +57,7 @@
     return text;
 }
 
-auto ClaimTable::settled(std::string const& key) const -> bool {
+auto ClaimTable::is_replicated(std::string const& key) const -> bool {
     return !whole_needed && !unsaved.contains(key) && !saving.contains(key) && !to_fly.contains(key) &&
         !flown.contains(key);
 }
--- a/source/consensus/claims.hpp
+++ b/source/consensus/claims.hpp
@@ -61,7 +61,7 @@
     auto put(std::string const& key, std::string ticket, Microseconds at, bool synced) -> void;
     auto expire(Microseconds now) -> void;
     auto write_all(Microseconds now, bool only_synced) const -> std::string;  // all claims, as lines
-    auto settled(std::string const& key) const -> bool;                       // synced here and at all followers
+    auto is_replicated(std::string const& key) const -> bool;                 // synced here and at all followers
     auto drop_unsaved() -> void;        // claims on no disk: they were never acknowledged, so they may be dropped
     auto reset_leader_state() -> void;  // on losing leadership
 };
