--- a/source/connection/losses.cpp
+++ b/source/connection/losses.cpp
@@ -47,7 +47,7 @@
         auto const leads = partition.committed && partition.is_leader(control.membership.self.identity);
         auto const synced = [&](std::string const& follower) {
             auto const found = partition.progress.find(follower);
-            return found != partition.progress.end() && found->second.has >= partition.committed->sequence;
+            return found != partition.progress.end() && found->second.synced_sequence >= partition.committed->sequence;
         };
         auto const copied = static_cast<std::size_t>(std::count_if(
             record.followers.begin(), record.followers.end(),
--- a/source/consensus/answer_checks.cpp
+++ b/source/consensus/answer_checks.cpp
@@ -35,7 +35,7 @@
     auto const& record = partition.votes.decided;
     auto const reported = [&](std::string const& follower) {
         auto const found = partition.progress.find(follower);
-        return found != partition.progress.end() && found->second.has >= covered;
+        return found != partition.progress.end() && found->second.synced_sequence >= covered;
     };
     auto const followers = std::count_if(record.followers.begin(), record.followers.end(), reported);
     auto const here = partition.synced >= covered ? 1U : 0U;
--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -49,7 +49,7 @@
 
 auto Partition::send_flight(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
-        if (follower.has >= flying.sequence) continue;
+        if (follower.synced_sequence >= flying.sequence) continue;
         if (flying_change && !follower.lacks_base)
             context.sends.push_back({identity, AppendChange{index, votes.decided, *flying_change}});
         else context.sends.push_back({identity, Append{index, votes.decided, flying}});
--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -12,7 +12,8 @@
 }
 
 auto Partition::all_have(Sequence const& sequence) const -> bool {
-    return std::all_of(progress.begin(), progress.end(), [&](auto const& item) { return item.second.has >= sequence; });
+    return std::all_of(
+        progress.begin(), progress.end(), [&](auto const& item) { return item.second.synced_sequence >= sequence; });
 }
 
 auto Partition::reset_progress(Microseconds now) -> void {
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -232,8 +232,8 @@
     }
     auto& follower = progress[from];
     follower.heard = context.now;
-    follower.has = std::max(follower.has, message.sequence);
-    if (message.lacks_base && in_flight && sent_flight && follower.has < flying.sequence) {
+    follower.synced_sequence = std::max(follower.synced_sequence, message.sequence);
+    if (message.lacks_base && in_flight && sent_flight && follower.synced_sequence < flying.sequence) {
         follower.lacks_base = true;
         context.sends.push_back({from, Append{index, votes.decided, flying}});
     }
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -93,8 +93,8 @@
     Microseconds flown_at = 0;
     struct FollowerProgress {
         Microseconds heard = 0;
-        Sequence has;             // newest sequence that it reported as synced
-        bool lacks_base = false;  // the change could not be applied to its copy
+        Sequence synced_sequence;  // newest sequence that it reported as synced
+        bool lacks_base = false;   // the change could not be applied to its copy
     };
     std::map<std::string, FollowerProgress> progress;  // the followers of the decided record
     Microseconds last_spare = 0;
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -149,7 +149,7 @@
     learn(context, record);
     if (all_hold_it) {  // committed already: freshness proofs need not wait for the new term's first replication
         committed = copy;
-        for (auto& [identity, follower] : progress) follower.has = copy.sequence;
+        for (auto& [identity, follower] : progress) follower.synced_sequence = copy.sequence;
         claims.whole_needed = false;
     }
     for (auto const& identity : told)
--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -19,7 +19,7 @@
     Partition partition;
     partition.votes.decided = Record{2, self, {"b"}, {"a", "b", "c", "d"}};
     partition.reset_progress(now);
-    partition.copy.sequence = partition.synced = partition.progress["b"].has = {2, 5};
+    partition.copy.sequence = partition.synced = partition.progress["b"].synced_sequence = {2, 5};
     partition.committed = partition.copy;
     for (auto const* voter : {"a", "b"}) partition.grants[voter] = now - partition.times.lease_duration + 1;
     return partition;
@@ -57,7 +57,7 @@
     };
     CHECK(told(leader(), {2, 5}).status == 200);
     auto not_reported = leader();
-    not_reported.progress["b"].has = {2, 4};
+    not_reported.progress["b"].synced_sequence = {2, 4};
     CHECK(told(not_reported, {2, 4}).status == 200);
     CHECK(told(not_reported, {1, 9}).status == 200);  // all members had it before the record was decided
     auto not_synced = leader();
--- a/tests/model/planted.cpp
+++ b/tests/model/planted.cpp
@@ -26,7 +26,7 @@
 
 auto take_followers_for_synced(Partition& partition) -> void {
     for (auto& [identity, follower] : partition.progress)
-        follower.has = std::max(follower.has, partition.flying.sequence);
+        follower.synced_sequence = std::max(follower.synced_sequence, partition.flying.sequence);
 }
 
 }  // namespace
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -71,7 +71,7 @@
     auto hold(std::string const& text, std::uint64_t number) -> void {
         auto& copy = machine().copy;
         copy.document = text;
-        copy.sequence = machine().synced = machine().progress["b"].has = {1, number};
+        copy.sequence = machine().synced = machine().progress["b"].synced_sequence = {1, number};
         machine().logged = copy.sequence;
         machine().committed = copy;
     }
