--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -136,8 +136,8 @@
         std::set<std::string> replaced_members;  // members that did not take it in time
         bool copied = false;                     // all members of `value` hold it
         Microseconds copying_since = 0;
-        Ballot best;                  // highest ballot of an accepted record among the promises,
-        std::optional<Record> found;  // and that record
+        Ballot prior_ballot;                   // highest ballot of an accepted record among the promises,
+        std::optional<Record> prior_accepted;  // and that record
         Microseconds started = 0;
         Microseconds sent = 0;
     };
--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -47,13 +47,13 @@
     if (!proposal || proposal->stage != Proposal::Stage::preparing || message.ballot != proposal->ballot) return;
     if (message.term != votes.decided.term + 1 || !contains(votes.decided.voters, from)) return;
     proposal->promises.insert(from);
-    if (message.accepted && (!proposal->found || message.accepted_ballot > proposal->best)) {
-        proposal->found = message.accepted;
-        proposal->best = message.accepted_ballot;
+    if (message.accepted && (!proposal->prior_accepted || message.accepted_ballot > proposal->prior_ballot)) {
+        proposal->prior_accepted = message.accepted;
+        proposal->prior_ballot = message.accepted_ballot;
     }
     if (proposal->promises.size() < majority_of(votes.decided.voters.size())) return;
-    if (proposal->found) {
-        proposal->value = *proposal->found;
+    if (proposal->prior_accepted) {
+        proposal->value = *proposal->prior_accepted;
         begin_accepting(context);
     } else {
         proposal->value = proposal->wanted;
