--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -137,7 +137,7 @@
 auto Partition::leader_tick(Context& context) -> void {
     if (context.now - lease_requested_at >= times.heartbeat_interval || lease_requested_at == 0) {
         ask_for_lease(context);
-        if (committed && context.now - last_spare > times.spare_interval) sweep_spares(context);
+        if (committed && context.now - spares_announced_at > times.spare_interval) announce_to_spares(context);
     }
     auto const leased = has_lease(context.self, context.now);
     if (leased) leader_since = context.now;
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -97,7 +97,7 @@
         bool lacks_base = false;   // the change could not be applied to its copy
     };
     std::map<std::string, FollowerProgress> progress;  // the followers of the decided record
-    Microseconds last_spare = 0;
+    Microseconds spares_announced_at = 0;
     std::optional<Copy> offered;               // to spares: the committed copy at the last announcement
     std::optional<CopyChange> offered_change;  // from the copy offered before
     struct Waiter {                            // an answer that waits for a commit
@@ -208,7 +208,7 @@
     auto send_proposal(Context& context) -> void;
     auto fly(Context& context) -> void;
     auto send_flight(Context& context) -> void;
-    auto sweep_spares(Context& context) -> void;
+    auto announce_to_spares(Context& context) -> void;
     auto offer_spare(Context& context, std::string const& spare, Appended const& answer) -> void;
     auto takes_offers(std::string const& from, std::string const& self, Record const& record) const -> bool;
     auto takes_appends(std::string const& from, std::string const& self, Record const& record) const -> bool;
--- a/source/consensus/spares.cpp
+++ b/source/consensus/spares.cpp
@@ -5,8 +5,8 @@
 namespace dockrock {
 
 // Announces the committed sequence to the core nodes outside the group; those that hold another one are sent the copy.
-auto Partition::sweep_spares(Context& context) -> void {
-    last_spare = context.now;
+auto Partition::announce_to_spares(Context& context) -> void {
+    spares_announced_at = context.now;
     if (!offered || offered->sequence != committed->sequence) {
         offered_change = offered ? change_between(*offered, *committed) : std::nullopt;
         offered = committed;
