--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -112,7 +112,7 @@
 
 // Proposes a new term where a member is lost, the term is sealed, the group can grow, the voters must change, or
 // this leader could get no lease.
-auto Partition::renew_group(Context& context, bool leased) -> void {
+auto Partition::reconfigure_group(Context& context, bool leased) -> void {
     if (proposal) return;
     if (context.now - last_proposal_at <
         times.proposal_interval + static_cast<Microseconds>(context.random.below(proposal_jitter)))
@@ -147,7 +147,7 @@
     }
     process_queued(context);
     expire_waiters(context, outcome_unknown);
-    renew_group(context, leased);
+    reconfigure_group(context, leased);
 }
 
 // Any follower may take over. They try in the order of the record, so that ballots do not
--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -198,7 +198,7 @@
     auto leader_tick(Context& context) -> void;
     auto open_term(Context& context) -> void;
     auto resend_flight(Context& context) -> void;
-    auto renew_group(Context& context, bool leased) -> void;
+    auto reconfigure_group(Context& context, bool leased) -> void;
     auto follower_tick(Context& context) -> void;
     auto proposal_tick(Context& context) -> void;
     auto begin_copying(Context& context) -> void;
