--- a/source/consensus/answer_checks.cpp
+++ b/source/consensus/answer_checks.cpp
@@ -11,7 +11,7 @@
 constexpr auto nothing_read = 503;
 constexpr auto not_known = 504;
 
-auto held_back(CallDone done, int status, std::string_view what) -> CallDone {
+auto withheld_answer(CallDone done, int status, std::string_view what) -> CallDone {
     done.status = status;
     done.body = error_body(what);
     done.etag.clear();
@@ -48,12 +48,12 @@
 auto checked_read(Partition const& partition, Context const& context, CallDone done) -> CallDone {
     if (done.status != acknowledged || invariants::check_read(lease_facts(partition, context.self, context.now)))
         return done;
-    return held_back(std::move(done), nothing_read, "no leased leader now; nothing was read");
+    return withheld_answer(std::move(done), nothing_read, "no leased leader now; nothing was read");
 }
 
 auto checked_outcome(Partition const& partition, Sequence const& covered, CallDone done) -> CallDone {
     if (done.status != acknowledged || invariants::check(durability_facts(partition, covered))) return done;
-    return held_back(std::move(done), not_known, "outcome not known; ask again under the same change identity");
+    return withheld_answer(std::move(done), not_known, "outcome not known; ask again under the same change identity");
 }
 
 }  // namespace dockrock
