--- a/source/base/messages.hpp
+++ b/source/base/messages.hpp
@@ -19,7 +19,7 @@
     std::uint64_t token = 0;
     std::vector<Member> members;
 };
-struct ProbeFor {  // asks the receiver to probe a third node
+struct IndirectProbe {  // asks the receiver to probe a third node
     std::uint64_t token = 0;
     std::string target;
 };
@@ -221,7 +221,7 @@
 };
 
 using Message = std::variant<
-    Probe, ProbeAnswer, ProbeFor, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
+    Probe, ProbeAnswer, IndirectProbe, Prepare, Promise, Accept, Accepted, Refusal, Decided, LeaseRequest, LeaseGrant,
     Heartbeat, Append, Appended, CopyOffer, CopyTaken, SpareOffer, NewsAsk, NewsAnswer, CallForward, CallAnswer,
     BurdenDigest, ClaimAsk, ClaimAnswer, ClaimFlight, ClaimFlown, AnewAsk, AnewAnswer, FormAnew, LoadTold, LoadShare,
     LoadSum, FeedAsk, FeedAnswer, AppendChange, SpareChange, NamingAges>;
--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -5,7 +5,7 @@
 
 BOOST_HANA_ADAPT_STRUCT(dockrock::Probe, token, members);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ProbeAnswer, token, members);
-BOOST_HANA_ADAPT_STRUCT(dockrock::ProbeFor, token, target);
+BOOST_HANA_ADAPT_STRUCT(dockrock::IndirectProbe, token, target);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Prepare, partition, term, ballot, proof);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Promise, partition, term, ballot, accepted_ballot, accepted);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Accept, partition, term, ballot, record, proof);
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -159,7 +159,7 @@
     auto deliver(Arrival const& arrival, Message const& message) -> void;
     auto on(Arrival const& arrival, Probe const& probe) -> void;
     auto on(Arrival const& arrival, ProbeAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, ProbeFor const& probe) -> void;
+    auto on(Arrival const& arrival, IndirectProbe const& probe) -> void;
     auto on(Arrival const& arrival, NewsAsk const& ask) -> void;
     auto on(Arrival const& arrival, NewsAnswer const& answer) -> void;
     auto on(Arrival const& arrival, BurdenDigest const& digest) -> void;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -35,7 +35,7 @@
     membership.on(answer, arrival.from, arrival.address, arrival.now, arrival.output.sends);
 }
 
-auto Control::on(Arrival const& arrival, ProbeFor const& probe) -> void {
+auto Control::on(Arrival const& arrival, IndirectProbe const& probe) -> void {
     membership.on(probe, arrival.address, arrival.now, arrival.output.sends);
 }
 
--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -142,7 +142,8 @@
     pending.erase(found);
 }
 
-auto Membership::on(ProbeFor const& ask, std::string const& address, Microseconds now, AddressedMessages& out) -> void {
+auto Membership::on(IndirectProbe const& ask, std::string const& address, Microseconds now, AddressedMessages& out)
+    -> void {
     auto const token = next_token++;
     relayed[token] = {ask.token, address, now};
     out.push_back({ask.target, Probe{token, rumours(rumours_to_strangers)}});
--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -67,7 +67,7 @@
     auto on(
         ProbeAnswer const& answer, std::string const& from, std::string const& address, Microseconds now,
         AddressedMessages& out) -> void;
-    auto on(ProbeFor const& ask, std::string const& address, Microseconds now, AddressedMessages& out) -> void;
+    auto on(IndirectProbe const& ask, std::string const& address, Microseconds now, AddressedMessages& out) -> void;
     auto heard_from(std::string const& identity, Microseconds now) -> void;
     auto alive(std::string const& identity) const -> bool;
     auto address_of(std::string const& identity) const -> std::string;
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -27,7 +27,8 @@
             });
             for (auto count = 0; count < helpers_asked && !helpers.empty(); ++count) {
                 auto const chosen = random.below(helpers.size());
-                out.push_back({helpers[chosen].control_address, ProbeFor{token, found->second.member.control_address}});
+                out.push_back(
+                    {helpers[chosen].control_address, IndirectProbe{token, found->second.member.control_address}});
                 helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(chosen));
             }
         }
