--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -43,18 +43,18 @@
     std::map<std::string, KnownMember> known;                 // by identity, without self
     std::map<std::string, std::string> remembered_addresses;  // address -> area, kept when a node is forgotten
     std::vector<std::string> probe_order;
-    struct Pending {
+    struct PendingProbe {
         std::string identity;
         Microseconds sent_at = 0;
         bool asked_others = false;
     };
-    std::map<std::uint64_t, Pending> pending;
-    struct Relayed {
+    std::map<std::uint64_t, PendingProbe> pending;
+    struct RelayedProbe {
         std::uint64_t token = 0;
         std::string address;
         Microseconds sent_at = 0;
     };
-    std::map<std::uint64_t, Relayed> relayed;  // probes made for other members, by token
+    std::map<std::uint64_t, RelayedProbe> relayed;  // probes made for other members, by token
     std::uint64_t next_token = 1;
     Microseconds last_tick = 0;
     Microseconds last_probe = 0;
@@ -80,7 +80,7 @@
     auto learn(Member const& told, Microseconds now) -> void;
     auto rumours(std::size_t most) -> std::vector<Member>;
     auto everyone() const -> std::vector<Member>;
-    auto judge_pending(Microseconds now, Random& random, AddressedMessages& out) -> void;
+    auto check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void;
     auto forgive_after_freeze(Microseconds now) -> void;
     auto age_members(Microseconds now) -> void;
     auto contact_addresses(Microseconds now, Random& random, AddressedMessages& out) -> void;
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -7,10 +7,10 @@
 constexpr Microseconds contact_interval = 2 * one_second;
 constexpr Microseconds lonely_contact_interval = one_second / 4;  // while no member is known
 constexpr auto contacts_at_once = std::size_t{4};
-constexpr auto helpers_asked = 2;
+constexpr auto indirect_probes = 2;
 }  // namespace
 
-auto Membership::judge_pending(Microseconds now, Random& random, AddressedMessages& out) -> void {
+auto Membership::check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void {
     for (auto place = pending.begin(); place != pending.end();) {
         auto const token = place->first;
         auto& waiting = place->second;
@@ -25,7 +25,7 @@
             std::erase_if(helpers, [&](auto const& member) {
                 return member.identity == self.identity || member.identity == waiting.identity;
             });
-            for (auto count = 0; count < helpers_asked && !helpers.empty(); ++count) {
+            for (auto count = 0; count < indirect_probes && !helpers.empty(); ++count) {
                 auto const chosen = random.below(helpers.size());
                 out.push_back(
                     {helpers[chosen].control_address, IndirectProbe{token, found->second.member.control_address}});
@@ -48,7 +48,7 @@
 auto Membership::tick(Microseconds now, Random& random, AddressedMessages& out) -> void {
     if (last_tick != 0 && now - last_tick > times.frozen_gap) forgive_after_freeze(now);
     last_tick = now;
-    judge_pending(now, random, out);
+    check_pending_probes(now, random, out);
     age_members(now);
     std::erase_if(relayed, [&](auto const& item) { return now - item.second.sent_at > 4 * times.probe_limit; });
     contact_addresses(now, random, out);
