--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -83,7 +83,7 @@
     }
 }
 
-auto Membership::rumours(std::size_t most) -> std::vector<Member> {
+auto Membership::gossip(std::size_t most) -> std::vector<Member> {
     std::vector<KnownMember*> entries;
     for (auto& [identity, entry] : known) entries.push_back(&entry);
     std::stable_sort(
@@ -97,7 +97,7 @@
     return told;
 }
 
-auto Membership::everyone() const -> std::vector<Member> {
+auto Membership::all_members() const -> std::vector<Member> {
     std::vector<Member> told{self};
     for (auto const& [identity, entry] : known) told.push_back(entry.member);
     return told;
@@ -106,14 +106,14 @@
 auto Membership::on(
     Probe const& probe, std::string const& from, std::string const& address, Microseconds now, AddressedMessages& out)
     -> void {
-    auto const stranger = !known.contains(from);
+    auto const unknown_sender = !known.contains(from);
     for (auto const& member : probe.members) learn(member, now);
     heard_from(from, now);
     auto const* asker = find(from);
-    auto const thinks_little = stranger || probe.members.size() < 3;
+    auto const knows_few = unknown_sender || probe.members.size() < 3;
     out.push_back(
         {asker != nullptr ? asker->control_address : address,
-         ProbeAnswer{probe.token, thinks_little ? everyone() : rumours(rumours_to_members)}});
+         ProbeAnswer{probe.token, knows_few ? all_members() : gossip(gossip_to_members)}});
 }
 
 auto Membership::on(
@@ -146,7 +146,7 @@
     -> void {
     auto const token = next_token++;
     relayed[token] = {ask.token, address, now};
-    out.push_back({ask.target, Probe{token, rumours(rumours_to_strangers)}});
+    out.push_back({ask.target, Probe{token, gossip(gossip_to_unknown)}});
 }
 
 }  // namespace dockrock
--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -27,8 +27,8 @@
 inline constexpr auto state_dead = static_cast<int>(MemberState::dead);
 
 // The number of other members gossiped about in one message.
-inline constexpr auto rumours_to_members = std::size_t{6};
-inline constexpr auto rumours_to_strangers = std::size_t{4};
+inline constexpr auto gossip_to_members = std::size_t{6};
+inline constexpr auto gossip_to_unknown = std::size_t{4};
 
 struct KnownMember {
     Member member;
@@ -78,8 +78,8 @@
 
    private:
     auto learn(Member const& told, Microseconds now) -> void;
-    auto rumours(std::size_t most) -> std::vector<Member>;
-    auto everyone() const -> std::vector<Member>;
+    auto gossip(std::size_t most) -> std::vector<Member>;
+    auto all_members() const -> std::vector<Member>;
     auto check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void;
     auto forgive_after_freeze(Microseconds now) -> void;
     auto age_members(Microseconds now) -> void;
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -88,7 +88,7 @@
     auto count = std::size_t{0};
     for (auto const& address : addresses)
         if (known.empty() || (random.below(addresses.size()) < contacts_at_once && ++count <= contacts_at_once))
-            out.push_back({address, Probe{0, rumours(rumours_to_strangers)}});
+            out.push_back({address, Probe{0, gossip(gossip_to_unknown)}});
 }
 
 // Probes one member at a time, round-robin in a random order.
@@ -107,7 +107,7 @@
     auto const& member = known.at(target).member;
     auto const token = next_token++;
     if (member.state != state_dead) pending[token] = {target, now, false};
-    out.push_back({member.control_address, Probe{token, rumours(rumours_to_members)}});
+    out.push_back({member.control_address, Probe{token, gossip(gossip_to_members)}});
 }
 
 }  // namespace dockrock
