--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -81,8 +81,8 @@
     auto gossip(std::size_t most) -> std::vector<Member>;
     auto all_members() const -> std::vector<Member>;
     auto check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void;
-    auto forgive_after_freeze(Microseconds now) -> void;
-    auto age_members(Microseconds now) -> void;
+    auto reset_after_pause(Microseconds now) -> void;
+    auto expire_members(Microseconds now) -> void;
     auto contact_addresses(Microseconds now, Random& random, AddressedMessages& out) -> void;
     auto probe_next(Microseconds now, Random& random, AddressedMessages& out) -> void;
 };
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 constexpr Microseconds contact_interval = 2 * one_second;
-constexpr Microseconds lonely_contact_interval = one_second / 4;  // while no member is known
+constexpr Microseconds isolated_contact_interval = one_second / 4;  // while no member is known
 constexpr auto contacts_at_once = std::size_t{4};
 constexpr auto indirect_probes = 2;
 }  // namespace
@@ -46,17 +46,17 @@
 }
 
 auto Membership::tick(Microseconds now, Random& random, AddressedMessages& out) -> void {
-    if (last_tick != 0 && now - last_tick > times.frozen_gap) forgive_after_freeze(now);
+    if (last_tick != 0 && now - last_tick > times.frozen_gap) reset_after_pause(now);
     last_tick = now;
     check_pending_probes(now, random, out);
-    age_members(now);
+    expire_members(now);
     std::erase_if(relayed, [&](auto const& item) { return now - item.second.sent_at > 4 * times.probe_limit; });
     contact_addresses(now, random, out);
     probe_next(now, random, out);
 }
 
 // After a pause of this process, expired timers say nothing about other nodes (design 4).
-auto Membership::forgive_after_freeze(Microseconds now) -> void {
+auto Membership::reset_after_pause(Microseconds now) -> void {
     pending.clear();
     relayed.clear();
     for (auto& [identity, entry] : known)
@@ -64,7 +64,7 @@
 }
 
 // Declares members dead that were suspect for too long, and removes dead ones after a while.
-auto Membership::age_members(Microseconds now) -> void {
+auto Membership::expire_members(Microseconds now) -> void {
     for (auto place = known.begin(); place != known.end();) {
         auto& entry = place->second;
         if (entry.member.state == state_suspect && now - entry.changed_at > times.suspicion_limit) {
@@ -79,7 +79,7 @@
 
 // Probes seeds and addresses of nodes known earlier that no live member has: for the first contact, and to rejoin.
 auto Membership::contact_addresses(Microseconds now, Random& random, AddressedMessages& out) -> void {
-    if (now - last_seed <= (known.empty() ? lonely_contact_interval : contact_interval)) return;
+    if (now - last_seed <= (known.empty() ? isolated_contact_interval : contact_interval)) return;
     last_seed = now;
     std::set<std::string> addresses(seeds.begin(), seeds.end());
     for (auto const& [address, area] : remembered_addresses) addresses.insert(address);
