--- a/source/consensus/reconfiguration.cpp
+++ b/source/consensus/reconfiguration.cpp
@@ -142,17 +142,17 @@
     if (proposal->accepts.size() < majority_of(votes.decided.voters.size())) return;
     auto const record = proposal->value;
     auto const all_hold_it = proposal->copied && record.leader == context.self;
-    std::set<std::string> told(votes.decided.voters.begin(), votes.decided.voters.end());
-    told.insert(record.voters.begin(), record.voters.end());
-    for (auto const& member : members_of(record)) told.insert(member);
-    for (auto const& member : members_of(votes.decided)) told.insert(member);
+    std::set<std::string> recipients(votes.decided.voters.begin(), votes.decided.voters.end());
+    recipients.insert(record.voters.begin(), record.voters.end());
+    for (auto const& member : members_of(record)) recipients.insert(member);
+    for (auto const& member : members_of(votes.decided)) recipients.insert(member);
     learn(context, record);
     if (all_hold_it) {  // committed already: freshness proofs need not wait for the new term's first replication
         committed = copy;
         for (auto& [identity, follower] : progress) follower.synced_sequence = copy.sequence;
         claims.whole_needed = false;
     }
-    for (auto const& identity : told)
+    for (auto const& identity : recipients)
         if (identity != context.self) context.sends.push_back({identity, Decided{index, record}});
 }
 
--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -50,33 +50,34 @@
         place = place->second.identity == identity ? pending.erase(place) : std::next(place);
 }
 
-auto Membership::learn(Member const& told, Microseconds now) -> void {
-    if (told.identity.empty()) return;
-    if (told.identity == self.identity) {
-        if (told.state != state_alive && told.incarnation >= self.incarnation) self.incarnation = told.incarnation + 1;
+auto Membership::learn(Member const& report, Microseconds now) -> void {
+    if (report.identity.empty()) return;
+    if (report.identity == self.identity) {
+        if (report.state != state_alive && report.incarnation >= self.incarnation)
+            self.incarnation = report.incarnation + 1;
         return;
     }
-    auto [place, fresh] = known.try_emplace(told.identity);
+    auto [place, fresh] = known.try_emplace(report.identity);
     auto& entry = place->second;
-    auto const newer = fresh || told.incarnation > entry.member.incarnation ||
-        (told.incarnation == entry.member.incarnation && told.state > entry.member.state);
+    auto const newer = fresh || report.incarnation > entry.member.incarnation ||
+        (report.incarnation == entry.member.incarnation && report.state > entry.member.state);
     if (newer) {
-        entry = KnownMember{told, now, 0};
-        remembered_addresses[told.control_address] = told.area;
+        entry = KnownMember{report, now, 0};
+        remembered_addresses[report.control_address] = report.area;
     }
     // A node that knows a fleet goes on knowing it: accepted even where the report is not newer otherwise.
-    if (told.knows_fleet && !entry.member.knows_fleet) {
+    if (report.knows_fleet && !entry.member.knows_fleet) {
         entry.member.knows_fleet = true;
         entry.times_told = 0;
     }
-    if (told.leaving && told.incarnation == entry.member.incarnation && !entry.member.leaving) {
+    if (report.leaving && report.incarnation == entry.member.incarnation && !entry.member.leaving) {
         entry.member.leaving = true;
         entry.times_told = 0;
     }
-    if (!newer || told.state != state_alive) return;
+    if (!newer || report.state != state_alive) return;
     for (auto& [identity, other] : known) {  // the same node under a former identity is dead
-        if (identity == told.identity || other.member.control_address != told.control_address) continue;
-        if (other.member.state == state_dead || other.member.incarnation > told.incarnation) continue;
+        if (identity == report.identity || other.member.control_address != report.control_address) continue;
+        if (other.member.state == state_dead || other.member.incarnation > report.incarnation) continue;
         other.member.state = state_dead;
         other.changed_at = now;
         other.times_told = 0;
@@ -88,19 +89,19 @@
     for (auto& [identity, entry] : known) entries.push_back(&entry);
     std::stable_sort(
         entries.begin(), entries.end(), [](auto* left, auto* right) { return left->times_told < right->times_told; });
-    std::vector<Member> told{self};
+    std::vector<Member> members{self};
     for (auto* entry : entries) {
-        if (told.size() > most) break;
+        if (members.size() > most) break;
         ++entry->times_told;
-        told.push_back(entry->member);
+        members.push_back(entry->member);
     }
-    return told;
+    return members;
 }
 
 auto Membership::all_members() const -> std::vector<Member> {
-    std::vector<Member> told{self};
-    for (auto const& [identity, entry] : known) told.push_back(entry.member);
-    return told;
+    std::vector<Member> members{self};
+    for (auto const& [identity, entry] : known) members.push_back(entry.member);
+    return members;
 }
 
 auto Membership::on(
--- a/source/membership/membership.hpp
+++ b/source/membership/membership.hpp
@@ -77,7 +77,7 @@
     auto leaving(std::string const& identity) const -> bool;
 
    private:
-    auto learn(Member const& told, Microseconds now) -> void;
+    auto learn(Member const& report, Microseconds now) -> void;
     auto gossip(std::size_t most) -> std::vector<Member>;
     auto all_members() const -> std::vector<Member>;
     auto check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void;
