--- a/tests/changes_leader_test.cpp
+++ b/tests/changes_leader_test.cpp
@@ -1,4 +1,4 @@
-// What a leader tells of changes, and within which time. docs/design.md 5.4 and 7.
+// A leader's answers to changes and reads, and their time limits. docs/design.md 5.4 and 7.
 #include "services_helpers.hpp"
 #include "world_helpers.hpp"
 
@@ -6,7 +6,7 @@
 using namespace dockrock::simulation;
 using namespace dockrock::testing;
 
-TEST_CASE("a change is refused only by one that is committed") {
+TEST_CASE("a change that conflicts with an uncommitted one is refused only once that one is committed") {
     auto self = std::string("a");
     auto random = Random{1};
     auto context =
@@ -32,20 +32,21 @@
     };
     order(1, services_text(5));
     order(2, services_text(5) + " ");
-    CHECK(context.done.empty());  // the first may yet come to nothing, and then the second is good
+    CHECK(context.done.empty());  // the first may still be lost, and the second would then be valid
     sync();
     partition.on(context, "b", Appended{0, 1, {1, 2}});
     REQUIRE(context.done.size() == 2);
     CHECK(context.done[0].status == 200);
     CHECK(context.done[1].status == 412);
     order(3, services_text(6));
-    CHECK(context.done.back().status == 412);  // at once: nothing is under way
+    CHECK(context.done.back().status == 412);  // immediately: no change is in progress
     order(4, services_text(5));
-    CHECK(context.done.back().status == 200);  // the first, sent again
+    CHECK(context.done.back().status == 200);  // a retry of the first
 }
 
-TEST_CASE("a new leader gives no sequence of the term before to a change") {
-    // Between its first lease and its next tick it did, and a former leader may hold another change under it.
+TEST_CASE("a new leader assigns no sequence of the term before to a change") {
+    // It once did between its first lease and its next tick; a former leader may hold another change under that
+    // sequence.
     auto self = std::string("b");
     auto random = Random{1};
     auto context =
@@ -54,7 +55,7 @@
     partition.apply = [](Copy const&, Call const& call) { return ChangeResult{200, "", call.body}; };
     partition.copy = Copy{{1, 7}, "held", {}};
     partition.learn(context, Record{2, "b", {"c"}, {"a", "b", "c"}});
-    partition.committed = partition.copy;  // as where all of its group took the sealed copy
+    partition.committed = partition.copy;  // as after all members took the sealed copy
     for (auto const* voter : {"a", "b", "c"}) partition.on(context, voter, LeaseGrant{0, 2, context.now});
     partition.saving.clear();
     partition.call(context, "caller", 1, Call{configuration_partition, "one", "put", "", "changed", ""});
@@ -64,7 +65,7 @@
     CHECK(partition.copy.sequence == Sequence{2, 9});
 }
 
-TEST_CASE("an operator of a relaying fleet is answered within a second, also where no leader can be reached") {
+TEST_CASE("an operator of a fleet with load relays is answered within a second, even where no leader is reachable") {
     auto world = formed(3);
     for (auto& node : world->nodes) limit_calls(node->control.times);
     REQUIRE(put_and_wait(*world, 4, "kept") == 200);
@@ -78,14 +79,14 @@
                 [&](CallDone const& done) { status = done.status; });
             world->run_until(world->now + 900 * one_millisecond);
             INFO(operation << " at " << index);
-            CHECK((status == 503 || status == 504));  // 504 goes to the operator as 503
+            CHECK((status == 503 || status == 504));  // the operator gets a 504 as 503
         }
         world->heal();
         REQUIRE(world->run_until_true([&] { return world->settled(); }, 12 * one_second));
     }
 }
 
-TEST_CASE("a read of what its asker holds brings no document along, and any other one brings the newest") {
+TEST_CASE("a conditional read of the version that the caller holds has no document, any other read has the newest") {
     auto world = formed(3);
     REQUIRE(put_and_wait(*world, 4, "first") == 200);
     REQUIRE(world->run_until_true([&] { return all_hold(*world, "first"); }, 4 * one_second));
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -1,5 +1,5 @@
-// Changes as differences: what travels to followers, what the disk logs, what
-// is refused. docs/design.md 5.4 and 6.
+// Changes as differences: sent to followers, logged to disk, and refused where
+// their base does not match. docs/design.md 5.4 and 6.
 #include "base/copy_change.hpp"
 #include "process/storage.hpp"
 #include "world_helpers.hpp"
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("edits make the very text, and are small for changes far from each other") {
+TEST_CASE("edits reproduce the text exactly, and stay small for changes far from each other") {
     auto random = Random{7};
     for (auto round = 0; round < 300; ++round) {
         auto const base = random_text(random, random.below(400));
@@ -65,7 +65,7 @@
     CHECK_FALSE(apply_edits("6", edits).has_value());
 }
 
-TEST_CASE("a change of a copy makes the very copy, and only on its base") {
+TEST_CASE("a copy change reproduces the copy exactly, and applies only to its base") {
     auto base = copy_of(4, std::string(1'000, 'a'));
     auto made = base;
     made.sequence = {1, 5};
@@ -85,7 +85,7 @@
     CHECK(base.outcomes == made.outcomes);
 }
 
-TEST_CASE("a follower acknowledges a change only once it is synced; one that does not fit asks for the snapshot") {
+TEST_CASE("a follower acknowledges a change only once it is synced; without its base it asks for a snapshot") {
     auto const held = copy_of(4, std::string(1'000, 'a'));
     auto const made = copy_of(5, std::string(1'000, 'a') + "b");
     auto const change = change_between(held, made);
@@ -96,7 +96,7 @@
     REQUIRE(fits.context.saves.size() == 1);
     CHECK_FALSE(fits.context.saves.front().saved.copy.has_value());
     CHECK(fits.context.saves.front().saved.change.has_value());
-    fits.take(*change);  // sent again while it is synced
+    fits.take(*change);  // sent again while the sync is in progress
     CHECK(fits.context.sends.empty());
     fits.sync();
     CHECK(fits.answer().sequence == made.sequence);
@@ -114,7 +114,7 @@
     CHECK(sealed.context.sends.empty());
 }
 
-TEST_CASE("a change to a large document costs the group its difference; a member that was away gets a snapshot") {
+TEST_CASE("a change to a large document is replicated as a difference; a member that was down gets a snapshot") {
     auto world = formed(4);
     auto const tail = std::string(300'000, 't');
     REQUIRE(put_and_wait(*world, 4, "0" + tail) == 200);
@@ -144,7 +144,7 @@
     CHECK(world->violations.empty());
 }
 
-TEST_CASE("the disk logs changes between whole slots and reads them back; one that does not fit is damage") {
+TEST_CASE("storage logs changes between full slots and reads them back; a change without its base is damage") {
     auto pattern = (std::filesystem::temp_directory_path() / "dockrock-test-XXXXXX").string();
     auto const folder = std::filesystem::path(::mkdtemp(pattern.data()));
     auto held = copy_of(1, std::string(50'000, 'a'));
@@ -172,7 +172,7 @@
     CHECK(again.state.partitions.front().copy->document == held.document);
     CHECK(again.state.partitions.front().copy->outcomes == held.outcomes);
     REQUIRE(again.begin("me", 2));
-    CHECK_FALSE(again.write({entry}));  // made on top of an older copy
+    CHECK_FALSE(again.write({entry}));  // based on an older copy
     CHECK(again.broken);
     again.close();
     std::filesystem::remove_all(folder);
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -1,5 +1,5 @@
-// Run once across nodes: claims in storms, and faults planted to show that the
-// checks bite. docs/design.md section 10.5.
+// Claims of run-once requests across nodes, in simulated storms, and planted faults that
+// the checks must detect. docs/design.md section 10.5.
 #include <catch2/catch.hpp>
 
 #include "ticket/course.hpp"
@@ -47,13 +47,13 @@
 
 }  // namespace
 
-TEST_CASE("claims: one identity is granted to one ticket, its repeat is idempotent, others are told seen") {
+TEST_CASE("claims: an identity is granted to one request, its retry is idempotent, other requests are answered seen") {
     for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
         auto fleet = ClaimWorld(seed);
         CHECK(fleet.ask(4, "key", "first").state == ClaimState::granted);
         CHECK(fleet.ask(5, "key", "second").state == ClaimState::seen);
         CHECK(fleet.ask(6, "key", "first").state == ClaimState::granted);
-        fleet.world.claim(4, "key", "second", {}, true);  // not its own: nothing is given back
+        fleet.world.claim(4, "key", "second", {}, true);  // released by a request that does not own it: ignored
         CHECK(fleet.ask(5, "key", "second").state == ClaimState::seen);
         fleet.world.claim(4, "key", "first", {}, true);
         fleet.world.run_until(fleet.world.now + one_second);
@@ -62,7 +62,7 @@
     }
 }
 
-TEST_CASE("claims: asked at two nodes at once, one is granted") {
+TEST_CASE("claims: of requests at several nodes at once, one is granted") {
     for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
         auto fleet = ClaimWorld(seed);
         auto states = std::multiset<ClaimState>();
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("claims: without a leader the fate is not known, and a claim not saved by both is not granted") {
+TEST_CASE("claims: without a leader the outcome is unknown and nothing is granted") {
     for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
         auto fleet = ClaimWorld(seed);
         for (auto index = std::size_t{0}; index < 4; ++index) fleet.world.kill(index, false);
@@ -104,7 +104,7 @@
     }
 }
 
-TEST_CASE("claims are forgotten after their retention, and the table is bounded") {
+TEST_CASE("claims expire after their retention, and malformed claim lines are ignored") {
     ClaimTable table;
     table.put("old", "ticket", 0, true);
     table.put("new", "ticket", claim_retention, true);
@@ -116,7 +116,7 @@
     CHECK(table.held.size() == 2);
 }
 
-TEST_CASE("planted: claims that the follower is not given, or that no disk keeps, are caught") {
+TEST_CASE("planted: granting claims that were not sent to the follower, or not saved to disk, is detected") {
     CHECK(storm_with([](auto& options) { options.planted_claims_not_copied = true; }) >= 1);
     CHECK(storm_with([](auto& options) { options.planted_claims_not_saved = true; }) >= 1);
 }
@@ -141,7 +141,7 @@
 }
 }  // namespace
 
-TEST_CASE("a ticket's course: nothing is sent without its claim, fresh rules, a listed replica and a fresh proof") {
+TEST_CASE("a request is sent only with its claim, current rules, a listed replica and a recent proof") {
     auto course = course_of(true);
     CHECK(course.begin().step == Step::enter);
     CHECK(course.placed(placement(), good_facts()).step == Step::claim);
@@ -161,7 +161,7 @@
     CHECK(again.step == Step::enter);
     CHECK(again.give_back == "r0");
     CHECK(held.ticket.counted);
-    CHECK(held.placed(placement(), good_facts()).step == Step::send);  // the claim is held
+    CHECK(held.placed(placement(), good_facts()).step == Step::send);  // its claim is still held
     CHECK(held.given_up("deadline", 3).release_claim);
     auto moved = good_facts();
     moved.rules = {1, 5};
@@ -177,7 +177,7 @@
     CHECK(course_of(false).placed(placement(), good_facts()).step == Step::send);
 }
 
-TEST_CASE("a ticket's course: once it may have run, it is never shed and its identity is never given back") {
+TEST_CASE("a request that may have run is never shed, and its claim is never released") {
     auto course = course_of(true);
     course.ticket.body.run_once = false;
     course.placed(placement(), good_facts());
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -1,5 +1,5 @@
-// Parts kept by groups of three: two core nodes lost at once, with their disks.
-// docs/design.md section 5.
+// Partitions with groups of three members: the loss of two core nodes at once, with their
+// disks, must be tolerated. docs/design.md section 5.
 #include "world_helpers.hpp"
 
 using namespace dockrock;
@@ -34,7 +34,7 @@
     return 0;
 }
 
-// The leader of the configuration, then its followers in their order.
+// The leader of the configuration partition, then its followers in the record's order.
 auto group_of(World& world) -> std::vector<std::size_t> {
     auto const holder = world.leader(configuration_partition);
     REQUIRE(holder);
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-TEST_CASE("two losses borne: every group has three members, in three areas") {
+TEST_CASE("with two losses to tolerate, every group has three members in three areas") {
     for (auto const& shape : shapes)
         for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
             auto const world = two_lost(shape, seed);
@@ -82,7 +82,7 @@
         }
 }
 
-TEST_CASE("any two of a group wiped right after an acknowledgement while all others lose power: nothing is lost") {
+TEST_CASE("nothing is lost if two members' disks are wiped right after an acknowledgement and all nodes lose power") {
     for (auto const& shape : shapes)
         for (auto seed = std::uint64_t{1}; seed <= 4; ++seed)
             for (auto spared = std::size_t{0}; spared < 3; ++spared) {
@@ -106,7 +106,7 @@
             }
 }
 
-TEST_CASE("two core nodes lost at once, the leader too: replaced within three seconds, acknowledged changes kept") {
+TEST_CASE("a leader lost with another member is replaced within three seconds, and acknowledged changes are kept") {
     for (auto const& shape : shapes)
         for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
             auto const world = two_lost(shape, seed);
@@ -125,7 +125,7 @@
         }
 }
 
-TEST_CASE("a successor killed with a partner as soon as it is decided: the one that is left holds all") {
+TEST_CASE("if a new leader and a member are lost right after its election, the remaining member holds all changes") {
     auto const lost_by = [](std::function<void(WorldOptions&)> const& plant) {
         auto lost = 0;
         for (auto seed = std::uint64_t{1}; seed <= 12; ++seed) {
@@ -147,7 +147,7 @@
     CHECK(lost_by([](auto& options) { options.planted_partner_not_given = true; }) > 0);
 }
 
-TEST_CASE("storms with two losses at once: every invariant holds") {
+TEST_CASE("simulated storms with two losses at once break no invariant") {
     for (auto const& shape : shapes)
         for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
             WorldOptions options;
@@ -164,12 +164,12 @@
         }
 }
 
-TEST_CASE("planted: one copy too few acknowledged, or acceptances before the last partner has its copy, are caught") {
+TEST_CASE("planted: acknowledging with one copy too few, or accepting before all members hold the copy, is detected") {
     CHECK(storms_with([](auto& options) { options.planted_copy_short = true; }) == 6);
     CHECK(storms_with([](auto& options) { options.planted_partner_not_given = true; }) >= 3);
 }
 
-TEST_CASE("a fleet of pairs that is told to bear two losses grows its groups, and loses nothing by it") {
+TEST_CASE("groups grow without loss when the configured number of tolerated losses rises from one to two") {
     for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
         WorldOptions options;
         options.seed = seed;
@@ -189,7 +189,7 @@
     }
 }
 
-TEST_CASE("of two proposers' copies the higher ballot's stays, whichever comes last") {
+TEST_CASE("of two proposers' copies the one with the higher ballot is kept, in either order of arrival") {
     auto random = Random{1};
     auto const self = std::string("c");
     Partition partition;
@@ -209,7 +209,7 @@
     CHECK(partition.copy.document == "newer");
 }
 
-TEST_CASE("a partner that stays silent is passed over for another") {
+TEST_CASE("a proposer replaces a silent member of the new group by another node") {
     auto random = Random{1};
     auto const self = std::string("b");
     auto const cores = [] {
@@ -230,7 +230,7 @@
     for (auto const* voter : {"b", "c", "d"}) partition.on(context, voter, Promise{0, 2, ballot, {}, std::nullopt});
     REQUIRE(partition.proposal->stage == Partition::Proposal::Stage::copying);
     auto const silent = partition.proposal->value.followers.back();
-    CHECK(partition.proposal->value.followers.front() == "c");  // a member that lives stays
+    CHECK(partition.proposal->value.followers.front() == "c");  // a live member stays
     partition.on(context, "c", CopyTaken{0, 1, ballot});
     partition.saved(context, context.saves.back().token, true);
     context.sends.clear();
--- a/tests/invariant_guard.hpp
+++ b/tests/invariant_guard.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// In all tests a violated invariant fails the test that meets it, unless the test plants it and says so.
+// A violated invariant fails the test in which it happens, unless the test declares it as expected.
 #include <initializer_list>
 #include <vector>
 
@@ -7,7 +7,7 @@
 
 namespace dockrock::testing {
 
-// While it lives these may be violated, and each must be.
+// While an instance exists, the given invariants may be violated; each must be at least once.
 struct ExpectedViolations {
     std::vector<std::pair<Invariant, std::uint64_t>> before;
     ExpectedViolations(std::initializer_list<Invariant> expected);
@@ -15,9 +15,9 @@
     ~ExpectedViolations();
 };
 
-// From here on violations are judged; by the thread that calls this, where Catch can be told at once.
+// Starts to report violations. Those on the calling thread fail the running test at once, through Catch.
 auto watch_invariants() -> void;
-// Of those that other threads met; each is printed with its test.
+// The number of violations on other threads; the first ones are printed with their test.
 auto violations_elsewhere() -> std::size_t;
 
 }  // namespace dockrock::testing
--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -1,5 +1,5 @@
-// What a leader tells, looked at once more: planted violations of its lease, its terms and its
-// copies are counted and held back. docs/consensus.md section 5.
+// The final checks of a leader's answers: planted violations of its lease, its terms and its
+// copies are counted and blocked. docs/consensus.md section 5.
 #include <catch2/catch.hpp>
 
 #include "consensus/answer_checks.hpp"
@@ -14,7 +14,7 @@
 constexpr auto now = 10 * one_second;
 auto const self = std::string("a");
 
-// A leader of term 2 with a committed copy that its follower reported, leased until a little later.
+// A leader of term 2 with a committed copy that its follower reported, and a lease that ends 1 us after `now`.
 auto leader() -> Partition {
     Partition partition;
     partition.votes.decided = Record{2, self, {"b"}, {"a", "b", "c", "d"}};
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("planted: a read without grants that block every majority is held back", "[invariants]") {
+TEST_CASE("planted: a read without lease grants from a blocking set of voters is blocked", "[invariants]") {
     CHECK(read_from(leader(), now) == 200);
     auto alone = leader();
     alone.grants.erase("b");
@@ -51,7 +51,7 @@
     CHECK(read_from(leader(), now + 1) == 503);
 }
 
-TEST_CASE("planted: an acknowledgement that a member has not synced is held back", "[invariants]") {
+TEST_CASE("planted: an acknowledgement of a change that a member has not synced is blocked", "[invariants]") {
     auto const told = [](Partition const& partition, Sequence const& covered) {
         return checked_outcome(partition, covered, answer());
     };
@@ -78,7 +78,7 @@
     CHECK(checked_outcome(not_reported, {2, 5}, refusal).status == 412);
 }
 
-TEST_CASE("planted: a term that falls, and a lease beside a successor, are caught", "[invariants]") {
+TEST_CASE("planted: a decreasing term, and a lease despite a known successor, are detected", "[invariants]") {
     auto const partition = leader();
     auto news = PartitionNews();
     auto watch = PartitionWatch();
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -1,5 +1,5 @@
-// Each invariant's check: what it lets pass, and the planted violation that it counts and holds
-// back. docs/consensus.md section 5.
+// The check of each invariant: it passes valid actions, and counts and blocks a planted violation.
+// docs/consensus.md section 5.
 #include "invariant_guard.hpp"
 #include "process/clock.hpp"
 #include "process/node.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A node with one listed replica under rules of sequence 1.1 and a proof of now.
+// A node with one listed replica, rules of sequence 1.1 and a proof from now.
 struct Sender {
     std::unique_ptr<Node> node = std::make_unique<Node>();
     Course course;
@@ -45,15 +45,15 @@
 
 }  // namespace
 
-TEST_CASE("a violation that nobody expects fails its test", "[invariants][!shouldfail]") {
+TEST_CASE("an unexpected violation fails its test", "[invariants][!shouldfail]") {
     invariants::holds(Invariant::one_lease, false, InvariantFact{"planted", 1});
 }
 
-TEST_CASE("an expected violation that does not come fails its test", "[invariants][!shouldfail]") {
+TEST_CASE("an expected violation that does not happen fails its test", "[invariants][!shouldfail]") {
     auto const expected = ExpectedViolations{Invariant::one_lease};
 }
 
-TEST_CASE("a violation is counted, named and told with its facts", "[invariants]") {
+TEST_CASE("a violation is counted and reported with its name and facts", "[invariants]") {
     auto const expected = ExpectedViolations{Invariant::one_lease};
     auto const before = invariants::total();
     auto const here = invariants::violations_on_this_thread();
@@ -70,7 +70,7 @@
     CHECK(violations_object().size() == invariant_count);
 }
 
-TEST_CASE("planted: a refusal by a configuration under an old proof is held back", "[invariants]") {
+TEST_CASE("planted: a refusal based on the configuration under an old proof is blocked", "[invariants]") {
     auto sender = Sender();
     for (auto const status : {401, 403, 404, 503}) CHECK(sender.node->refusal_leaves(status));
     sender.node->proven_at = clock_now() - sender.node->settings.bounds.apply - one_millisecond;
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE(
-    "planted: a request under an old proof, to a replica that leaves, or by older rules is held back", "[invariants]") {
+    "planted: a request under an old proof, to a draining replica, or by older rules is blocked", "[invariants]") {
     CHECK(Sender().leaves());
     auto old = Sender();
     old.node->proven_at = clock_now() - old.node->proof_limit() - one_millisecond;
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE(
-    "planted: a request to a replica of weights older than overdue ones is held back, however new the newest",
+    "planted: a request to a replica with weights older than an overdue version is blocked, even if newer are not due",
     "[invariants]") {
     auto sender = Sender();
     auto const bound = sender.node->settings.bounds.weights;
@@ -118,11 +118,13 @@
     CHECK(sender.leaves());
     auto named = OverdueCheck();
     for (auto version = 2; version < 30; ++version) named.learn("model", version, version * one_second, bound);
-    CHECK(named.by_model.at("model").size() < 25);  // those past their bound are one
+    CHECK(named.by_model.at("model").size() < 25);  // versions past their bound are merged into one
     CHECK(named.by_model.at("model").front().version == 8);
 }
 
-TEST_CASE("planted: a configuration that goes back, or changes under its sequence, is caught", "[invariants]") {
+TEST_CASE(
+    "planted: a configuration with a lower sequence, or with other content under one sequence, is detected",
+    "[invariants]") {
     auto control = Control();
     auto held = Snapshot();
     auto rules = std::make_shared<Rules>();
@@ -150,20 +152,20 @@
 }
 
 TEST_CASE(
-    "planted: an order without a lease, by an old look at it, under another fence or too soon is held back",
+    "planted: an order without a lease, by an old lease check, with a wrong fence or too soon is blocked",
     "[invariants]") {
     auto const node = std::make_unique<Node>();
     node->fences_sent[1] = 4;
     CHECK(keeps(sound_order()));
     auto planted = std::vector<invariants::OrderFacts>(5, sound_order());
     planted[0].leased = false;
-    planted[1].fence = 5;                                   // not of the term in force
-    planted[2].fence = planted[2].term = 3;                 // below one that was sent
-    planted[3].since_other = order_wait - one_millisecond;  // another holder may still order
+    planted[1].fence = 5;                                   // not the current term
+    planted[2].fence = planted[2].term = 3;                 // below one already sent
+    planted[3].since_other = order_wait - one_millisecond;  // another holder may still send orders
     planted[4].lease_age = -invariants::lease_check_age - one_millisecond;
     for (auto& facts : planted) {
         auto const expected = ExpectedViolations{Invariant::order_under_lease};
-        facts.lease_age += clock_now();  // the moment of the look
+        facts.lease_age += clock_now();  // the time of the lease check
         CHECK_FALSE(node->order_leaves(1, facts, order_wait));
     }
     CHECK(node->fences_sent[1] == 4);
@@ -172,7 +174,7 @@
     CHECK_FALSE(keeps(old_look));
 }
 
-TEST_CASE("planted: a proof from the future is not taken", "[invariants]") {
+TEST_CASE("planted: a proof with a time in the future is not accepted", "[invariants]") {
     auto world = simulation::formed(1);
     auto& node = *world->nodes.back();
     auto const now = world->local(node);
@@ -190,7 +192,7 @@
     CHECK(item.proven_at == proven_at);
 }
 
-TEST_CASE("planted: a second try of what runs once, after one that may have run, is held back", "[invariants]") {
+TEST_CASE("planted: a second try of a run-once request after one that may have run is blocked", "[invariants]") {
     for (auto const end : {TryEnd::unknown_before, TryEnd::answered_failure, TryEnd::broken_resumable}) {
         auto sender = Sender();
         sender.course.ticket.body.run_once = false;
--- a/tests/partition_test.cpp
+++ b/tests/partition_test.cpp
@@ -1,4 +1,4 @@
-// One partition's machine by itself: what it tells while its copy and its record change.
+// The state machine of one partition by itself: its answers while its copy and its record change.
 // docs/design.md sections 5.2 and 5.4.
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 
 constexpr auto begun = 10 * one_second;
 
-// A leader "a" of a group with "b", leased by all voters, that has served its first copy.
+// A leader "a" with the given followers, a lease granted by all voters and a committed first copy.
 struct Leader {
     std::string self = "a";
     Random random{7};
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("a leader that takes another's sealed copy knows no outcome of changes that it does not hold") {
+TEST_CASE("a leader that takes another's sealed copy answers that outcomes of changes missing from it are unknown") {
     Leader leader({"b"});
     auto const older = leader.partition.copy;
     leader.ask(1, "put", "first");
@@ -79,23 +79,25 @@
     leader.tell("b", CopyOffer{0, leader.partition.votes.decided, Ballot{1, "b"}, older, ""});
     CHECK(leader.status_of(1) == 504);
 
-    // Elected again in a group with "c": the next change takes no sequence that was given before.
+    // Elected again in a group with "c": the next change must not reuse a sequence that was assigned before.
     leader.tell("c", Decided{0, Record{2, "a", {"c"}, {"a", "b", "c", "d", "e"}}});
     leader.lease(begun);
     leader.partition.committed = leader.partition.copy;
-    leader.ask(2, "put", "second");  // waits until the leader has moved to the sequences of its term
+    leader.ask(2, "put", "second");  // waits until the leader has begun the sequences of its term
     CHECK(leader.status_of(2) == 0);
     leader.with([](auto& machine, auto& context) { machine.tick(context); });
     leader.sync();
     CHECK(leader.partition.copy.sequence > lost);
     CHECK(leader.partition.copy.sequence.term == 2);
     leader.tell("c", Appended{0, 2, leader.partition.copy.sequence});
-    leader.tell("c", Appended{0, 2, leader.partition.copy.sequence});  // of the change, after that of the move
+    leader.tell(
+        "c",
+        Appended{0, 2, leader.partition.copy.sequence});  // of the change; the one before was of the term's first copy
     CHECK(leader.status_of(2) == 200);
     CHECK(leader.status_of(1) == 504);
 }
 
-TEST_CASE("a sealed leader does not tell that a change is not under way: another proposer may hold it") {
+TEST_CASE("a sealed leader does not answer that a change is unknown: another proposer may hold it") {
     Leader leader({"b", "c"});
     auto const older = leader.partition.copy;
     leader.ask(1, "put", "first");
@@ -106,7 +108,7 @@
     CHECK(leader.status_of(3) == 0);
 }
 
-TEST_CASE("a leader that thaws after its lease tells no outcome, until voters grant it one again") {
+TEST_CASE("a leader that was paused beyond its lease answers no outcome until voters grant a lease again") {
     Leader leader({"b"});
     leader.ask(1, "put", "first");
     auto const sequence = leader.partition.copy.sequence;
