--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -1,4 +1,4 @@
-// What the notes before the frames tell of a connection. docs/design.md section 3.
+// Detection of stalled connections from the link headers of frames. docs/design.md section 3.
 #include "base/peer_link.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("a note comes back as it was put, and one with any byte changed does not") {
+TEST_CASE("a link header is read back as written, and one with any changed byte is refused") {
     auto const put = put_note({1, 2, 3, ~std::uint64_t{0}}, "frame");
     auto bytes = std::string_view(put);
     auto const taken = take_note(bytes);
@@ -39,19 +39,19 @@
     CHECK_FALSE(take_note(few));
 }
 
-TEST_CASE("a connection hangs where its other end is heard for long without what was sent") {
+TEST_CASE("a connection is stalled if its peer keeps sending but does not acknowledge a frame in time") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(1, 0), own_life, min_timeout);  // not later than the patience
+    link.heard(note(1, 0), own_life, min_timeout);  // not later than the timeout
     CHECK_FALSE(link.stalled);
     link.heard(note(2, 0), own_life, min_timeout + 1);
     CHECK(link.stalled);
-    link.heard(note(3, 1), own_life, min_timeout + 2);  // it came after all
+    link.heard(note(3, 1), own_life, min_timeout + 2);  // acknowledged after all
     CHECK_FALSE(link.stalled);
     CHECK(link.timed_frame == 0);
 }
 
-TEST_CASE("a peer that says nothing is given up on a doubt alone, and the later each time") {
+TEST_CASE("a connection to a silent peer is stalled only on a request timeout, with backoff") {
     auto link = PeerLink();
     auto now = Microseconds{0};
     link.sent(1, 0, now);
@@ -72,10 +72,10 @@
     link.heard(note(1, number), own_life, now + 1);
     link.sent(++number, 0, now);
     link.request_timed_out(now + min_timeout + 1);
-    CHECK(link.stalled);  // what arrived ended the doublings
+    CHECK(link.stalled);  // the acknowledgement reset the backoff
 }
 
-TEST_CASE("what is watched goes on with what was sent behind it, and large frames are given their time") {
+TEST_CASE("after an acknowledgement the last sent frame is timed next, and large frames get a longer timeout") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.sent(2, std::size_t{4} << 20U, 1'000);
@@ -88,7 +88,7 @@
     CHECK_FALSE(link.overdue(60 * one_second));
 }
 
-TEST_CASE("a peer under another life hangs until it says that it heard this one, whatever its former life had heard") {
+TEST_CASE("after a peer restart a connection is stalled until the new instance acknowledges a frame") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(5, 1), own_life, 1'000);
@@ -96,7 +96,7 @@
     link.heard(note(1, 0, 10, 0), own_life, 2'000);
     CHECK(link.stalled);
     CHECK(link.another_life);
-    link.heard(note(6, 1), own_life, 3'000);  // what is left of the former life
+    link.heard(note(6, 1), own_life, 3'000);  // a late frame of the former instance
     CHECK(link.stalled);
     CHECK(link.heard_life == 10);
     CHECK(link.heard_number == 1);
@@ -108,7 +108,7 @@
 
 namespace {
 
-// A frame each `pace`, each acknowledged by the first note that its peer sends after it came, over a way of that long.
+// Sends a frame each `pace`; the peer acknowledges each in its first frame after one round-trip time.
 auto exchange(PeerLink& link, std::uint64_t& number, Microseconds& now, Microseconds round_trip, int frames) -> void {
     constexpr auto pace = 50 * one_millisecond;
     auto on_the_way = std::map<Microseconds, std::uint64_t>();
@@ -127,7 +127,7 @@
 
 }  // namespace
 
-TEST_CASE("patience is twice the round trip of a slow link and its least again on a quick one") {
+TEST_CASE("the timeout is twice the round-trip time of a slow link, and the minimum again on a fast one") {
     auto link = PeerLink();
     auto number = std::uint64_t{0};
     auto now = Microseconds{0};
@@ -142,7 +142,7 @@
     CHECK(link.frame_timeout() == min_timeout);
 }
 
-TEST_CASE("whatever a link went through, a connection that hangs is noticed within the greatest patience") {
+TEST_CASE("a stalled connection is detected within the maximum timeout, whatever was measured before") {
     for (auto const round_trip : {0, 20, 200, 500, 900, 1'500}) {
         auto link = PeerLink();
         auto number = std::uint64_t{0};
@@ -159,7 +159,7 @@
     }
 }
 
-TEST_CASE("a cut is no round trip: what it held up changes no patience") {
+TEST_CASE("frames delayed by an outage or by connecting do not change the timeout") {
     auto link = PeerLink();
     auto number = std::uint64_t{0};
     auto now = Microseconds{0};
@@ -167,17 +167,17 @@
     link.sent(++number, 0, now);
     link.heard(note(number, 0), own_life, now + 5 * one_second);
     CHECK(link.stalled);
-    link.heard(note(number, number), own_life, now + 6 * one_second);  // repeated by the system, before any dial
+    link.heard(note(number, number), own_life, now + 6 * one_second);  // retransmitted by TCP, no reconnect
     CHECK_FALSE(link.stalled);
     CHECK(link.frame_timeout() == min_timeout);
     now += 7 * one_second;
-    link.sent(++number, 0, now, false);  // waits for a connection that is long in coming
+    link.sent(++number, 0, now, false);  // waits for a connection that is slow to open
     link.heard(note(number, 0), own_life, now + 300 * one_millisecond);
     link.heard(note(number, number), own_life, now + 390 * one_millisecond);
     CHECK(link.frame_timeout() == min_timeout);
 }
 
-TEST_CASE("doublings end with a frame that arrived by the connection that stands, and allowances double with them") {
+TEST_CASE("only a frame sent on an open connection resets the backoff, which doubles the size allowance as well") {
     auto link = PeerLink();
     link.sent(1, std::size_t{1} << 20U, 0);
     link.request_timed_out(one_second + min_timeout);
@@ -185,35 +185,35 @@
     link.request_timed_out(one_second + min_timeout + 1);
     CHECK(link.stalled);
     link.dialled();
-    link.heard(note(1, 1), own_life, 2 * one_second);  // of the connection before
+    link.heard(note(1, 1), own_life, 2 * one_second);  // of the previous connection
     CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(2, std::size_t{1} << 20U, 2 * one_second, false);
     CHECK_FALSE(link.overdue(2 * one_second + 2 * (one_second + min_timeout)));
     CHECK(link.overdue(2 * one_second + 2 * (one_second + min_timeout) + 1));
-    link.heard(note(2, 2), own_life, 2 * one_second + 1'000);  // the connection's own delay
+    link.heard(note(2, 2), own_life, 2 * one_second + 1'000);  // measures the time to connect
     CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(3, 0, 3 * one_second);
     link.heard(note(3, 3), own_life, 3 * one_second + 1'000);
     CHECK(link.frame_timeout() == min_timeout);
 }
 
-TEST_CASE("words to a former life of this node are no word that its frames arrive") {
+TEST_CASE("acknowledgements for a former instance of this node do not count") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(1, 40, their_life, own_life + 1), own_life, min_timeout + 1);
     CHECK(link.stalled);
 }
 
-TEST_CASE("a former life speaks again once the present one was silent for a second") {
+TEST_CASE("a former instance of the peer is accepted again once the current one was silent for a second") {
     constexpr auto present = std::uint64_t{11};
-    constexpr auto between = std::uint64_t{10};  // of the peer's three lives; its words come late
+    constexpr auto between = std::uint64_t{10};  // of the peer's three instances; its frames come late
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.heard(note(5, 1), own_life, 1'000);
     link.heard(note(1, 0, present, 0), own_life, 2'000);
     link.heard(note(3, 0, between, 0), own_life, 3'000);
     CHECK(link.heard_life == between);
-    link.heard(note(2, 0, present, 0), own_life, 3'000 + one_second);  // not longer silent than that
+    link.heard(note(2, 0, present, 0), own_life, 3'000 + one_second);  // silent for exactly the limit
     CHECK(link.heard_life == between);
     link.heard(note(3, 0, present, 0), own_life, 3'001 + one_second);
     CHECK(link.heard_life == present);
@@ -225,7 +225,7 @@
     CHECK(link.timed_frame == 0);
 }
 
-TEST_CASE("a life that is heard again and again keeps its former one silent") {
+TEST_CASE("while the current instance keeps sending, frames of the former one are ignored") {
     constexpr auto present = std::uint64_t{10};
     auto link = PeerLink();
     link.heard(note(5, 0), own_life, 0);
@@ -237,7 +237,7 @@
     }
 }
 
-TEST_CASE("words of a life before the former one are late words too") {
+TEST_CASE("frames of instances before the former one are ignored as well") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
     auto now = Microseconds{0};
@@ -245,6 +245,6 @@
     link.dialled();
     link.heard(note(2, 0, their_life, 0), own_life, ++now);  // two restarts ago
     CHECK((link.heard_life == their_life + 2 && !link.stalled));
-    link.heard(note(2, 0, their_life, 0), own_life, now + 2 * one_second);  // all that is heard: it runs
+    link.heard(note(2, 0, their_life, 0), own_life, now + 2 * one_second);  // the only one that sends: it is running
     CHECK(link.heard_life == their_life);
 }
