--- a/source/base/peer_link.cpp
+++ b/source/base/peer_link.cpp
@@ -8,29 +8,30 @@
 namespace dockrock {
 
 namespace {
-constexpr auto note_numbers = std::size_t{5};  // including the checksum
-constexpr auto note_size = note_numbers * sizeof(std::uint64_t);
+constexpr auto header_numbers = std::size_t{5};  // including the checksum
+constexpr auto header_size = header_numbers * sizeof(std::uint64_t);
 constexpr auto mebibyte = Microseconds{1} << 20U;
 }  // namespace
 
-auto put_note(LinkNote const& note, std::string_view frame) -> std::string {
+auto put_note(LinkNote const& header, std::string_view frame) -> std::string {
     std::string bytes;
-    bytes.reserve(note_size + frame.size());
-    for (auto const number : {note.life, note.number, note.heard_life, note.heard_number}) put_number(bytes, number);
+    bytes.reserve(header_size + frame.size());
+    for (auto const number : {header.life, header.number, header.heard_life, header.heard_number})
+        put_number(bytes, number);
     put_number(bytes, checksum_of(bytes));
     return bytes.append(frame);
 }
 
 auto take_note(std::string_view& bytes) -> std::optional<LinkNote> {
-    if (bytes.size() < note_size) return std::nullopt;
-    auto head = bytes.substr(0, note_size);
-    auto const checksum = checksum_of(head.substr(0, note_size - sizeof(std::uint64_t)));
-    auto note = LinkNote();
-    for (auto* number : {&note.life, &note.number, &note.heard_life, &note.heard_number})
+    if (bytes.size() < header_size) return std::nullopt;
+    auto head = bytes.substr(0, header_size);
+    auto const checksum = checksum_of(head.substr(0, header_size - sizeof(std::uint64_t)));
+    auto header = LinkNote();
+    for (auto* number : {&header.life, &header.number, &header.heard_life, &header.heard_number})
         *number = take_number(head).value_or(0);
     if (take_number(head) != checksum) return std::nullopt;
-    bytes.remove_prefix(note_size);
-    return note;
+    bytes.remove_prefix(header_size);
+    return header;
 }
 
 auto RoundTrip::add(Microseconds sample) -> void {
@@ -113,14 +114,15 @@
 
 // If the peer restarts several times during one outage, frames of its instances may come in any order. A former
 // instance that keeps sending while the current one is silent is the running one.
-auto PeerLink::heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void {
+auto PeerLink::heard(LinkNote const& header, std::uint64_t own_life, Microseconds now) -> void {
     auto const silent = now - heard_at > times.life_silence;
-    if (note.life != heard_life && is_former(note.life) && !silent) return;
-    take_life(note.life);
+    if (header.life != heard_life && is_former(header.life) && !silent) return;
+    take_life(header.life);
     heard_at = now;
-    heard_number = std::max(heard_number, note.number);
+    heard_number = std::max(heard_number, header.number);
     auto const least = timed_frame != 0 ? timed_frame : last_number;
-    if (note.heard_life == own_life && least != 0 && note.heard_number >= least) return acknowledge(note.heard_number);
+    if (header.heard_life == own_life && least != 0 && header.heard_number >= least)
+        return acknowledge(header.heard_number);
     check_timeout(now);
 }
 
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -20,7 +20,7 @@
     std::uint64_t heard_number = 0;
 };
 
-auto put_note(LinkNote const& note, std::string_view frame) -> std::string;
+auto put_note(LinkNote const& header, std::string_view frame) -> std::string;
 // Removes the header from the front of `bytes`; empty where its checksum is wrong.
 auto take_note(std::string_view& bytes) -> std::optional<LinkNote>;
 
@@ -67,7 +67,7 @@
     // A frame was sent. `connected`: the connection was open at that time.
     auto sent(std::uint64_t number, std::size_t bytes, Microseconds now, bool connected = true) -> void;
     // A frame with this header came from the peer.
-    auto heard(LinkNote const& note, std::uint64_t own_life, Microseconds now) -> void;
+    auto heard(LinkNote const& header, std::uint64_t own_life, Microseconds now) -> void;
     // The peer did not answer a request in time.
     auto request_timed_out(Microseconds now) -> void;
     // A new connection was opened.
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -12,7 +12,7 @@
 constexpr auto their_life = std::uint64_t{9};
 constexpr auto min_timeout = LinkTimes().min_timeout;
 
-auto note(std::uint64_t number, std::uint64_t heard, std::uint64_t life = their_life, std::uint64_t of = own_life)
+auto header(std::uint64_t number, std::uint64_t heard, std::uint64_t life = their_life, std::uint64_t of = own_life)
     -> LinkNote {
     return {life, number, of, heard};
 }
@@ -42,11 +42,11 @@
 TEST_CASE("a connection is stalled if its peer keeps sending but does not acknowledge a frame in time") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(1, 0), own_life, min_timeout);  // not later than the timeout
+    link.heard(header(1, 0), own_life, min_timeout);  // not later than the timeout
     CHECK_FALSE(link.stalled);
-    link.heard(note(2, 0), own_life, min_timeout + 1);
+    link.heard(header(2, 0), own_life, min_timeout + 1);
     CHECK(link.stalled);
-    link.heard(note(3, 1), own_life, min_timeout + 2);  // acknowledged after all
+    link.heard(header(3, 1), own_life, min_timeout + 2);  // acknowledged after all
     CHECK_FALSE(link.stalled);
     CHECK(link.timed_frame == 0);
 }
@@ -69,7 +69,7 @@
         CHECK_FALSE(link.stalled);
         link.sent(++number, 0, now);
     }
-    link.heard(note(1, number), own_life, now + 1);
+    link.heard(header(1, number), own_life, now + 1);
     link.sent(++number, 0, now);
     link.request_timed_out(now + min_timeout + 1);
     CHECK(link.stalled);  // the acknowledgement reset the backoff
@@ -79,11 +79,11 @@
     auto link = PeerLink();
     link.sent(1, 0, 0);
     link.sent(2, std::size_t{4} << 20U, 1'000);
-    link.heard(note(1, 1), own_life, 2'000);
+    link.heard(header(1, 1), own_life, 2'000);
     CHECK(link.timed_frame == 2);
     CHECK_FALSE(link.overdue(4 * one_second));
     CHECK(link.overdue(5 * one_second));
-    link.heard(note(2, 2), own_life, 5 * one_second);
+    link.heard(header(2, 2), own_life, 5 * one_second);
     CHECK(link.timed_frame == 0);
     CHECK_FALSE(link.overdue(60 * one_second));
 }
@@ -91,18 +91,18 @@
 TEST_CASE("after a peer restart a connection is stalled until the new instance acknowledges a frame") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(5, 1), own_life, 1'000);
+    link.heard(header(5, 1), own_life, 1'000);
     CHECK_FALSE(link.stalled);
-    link.heard(note(1, 0, 10, 0), own_life, 2'000);
+    link.heard(header(1, 0, 10, 0), own_life, 2'000);
     CHECK(link.stalled);
     CHECK(link.another_life);
-    link.heard(note(6, 1), own_life, 3'000);  // a late frame of the former instance
+    link.heard(header(6, 1), own_life, 3'000);  // a late frame of the former instance
     CHECK(link.stalled);
     CHECK(link.heard_life == 10);
     CHECK(link.heard_number == 1);
     link.dialled();
     link.sent(2, 0, 4'000);
-    link.heard(note(2, 2, 10), own_life, 5'000);
+    link.heard(header(2, 2, 10), own_life, 5'000);
     CHECK_FALSE(link.stalled);
 }
 
@@ -120,7 +120,7 @@
             acknowledged = on_the_way.begin()->second;
             on_the_way.erase(on_the_way.begin());
         }
-        link.heard(note(number, acknowledged), own_life, now);
+        link.heard(header(number, acknowledged), own_life, now);
         if (link.stalled) link.dialled();
     }
 }
@@ -150,10 +150,10 @@
         exchange(link, number, now, round_trip * one_millisecond, 200);
         auto const acknowledged = number;
         link.sent(++number, 0, now);
-        link.heard(note(1, acknowledged), own_life, now);
+        link.heard(header(1, acknowledged), own_life, now);
         auto const sent_at = now;
         while (!link.stalled && now < sent_at + 10 * one_second)
-            link.heard(note(1, acknowledged), own_life, now += 10 * one_millisecond);
+            link.heard(header(1, acknowledged), own_life, now += 10 * one_millisecond);
         auto const quick = 4 * round_trip * one_millisecond <= min_timeout;
         CHECK(now - sent_at <= (quick ? min_timeout : link.times.max_timeout) + 10 * one_millisecond);
     }
@@ -165,15 +165,15 @@
     auto now = Microseconds{0};
     exchange(link, number, now, 20 * one_millisecond, 100);
     link.sent(++number, 0, now);
-    link.heard(note(number, 0), own_life, now + 5 * one_second);
+    link.heard(header(number, 0), own_life, now + 5 * one_second);
     CHECK(link.stalled);
-    link.heard(note(number, number), own_life, now + 6 * one_second);  // retransmitted by TCP, no reconnect
+    link.heard(header(number, number), own_life, now + 6 * one_second);  // retransmitted by TCP, no reconnect
     CHECK_FALSE(link.stalled);
     CHECK(link.frame_timeout() == min_timeout);
     now += 7 * one_second;
     link.sent(++number, 0, now, false);  // waits for a connection that is slow to open
-    link.heard(note(number, 0), own_life, now + 300 * one_millisecond);
-    link.heard(note(number, number), own_life, now + 390 * one_millisecond);
+    link.heard(header(number, 0), own_life, now + 300 * one_millisecond);
+    link.heard(header(number, number), own_life, now + 390 * one_millisecond);
     CHECK(link.frame_timeout() == min_timeout);
 }
 
@@ -185,22 +185,22 @@
     link.request_timed_out(one_second + min_timeout + 1);
     CHECK(link.stalled);
     link.dialled();
-    link.heard(note(1, 1), own_life, 2 * one_second);  // of the previous connection
+    link.heard(header(1, 1), own_life, 2 * one_second);  // of the previous connection
     CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(2, std::size_t{1} << 20U, 2 * one_second, false);
     CHECK_FALSE(link.overdue(2 * one_second + 2 * (one_second + min_timeout)));
     CHECK(link.overdue(2 * one_second + 2 * (one_second + min_timeout) + 1));
-    link.heard(note(2, 2), own_life, 2 * one_second + 1'000);  // measures the time to connect
+    link.heard(header(2, 2), own_life, 2 * one_second + 1'000);  // measures the time to connect
     CHECK(link.frame_timeout() == 2 * min_timeout);
     link.sent(3, 0, 3 * one_second);
-    link.heard(note(3, 3), own_life, 3 * one_second + 1'000);
+    link.heard(header(3, 3), own_life, 3 * one_second + 1'000);
     CHECK(link.frame_timeout() == min_timeout);
 }
 
 TEST_CASE("acknowledgements for a former instance of this node do not count") {
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(1, 40, their_life, own_life + 1), own_life, min_timeout + 1);
+    link.heard(header(1, 40, their_life, own_life + 1), own_life, min_timeout + 1);
     CHECK(link.stalled);
 }
 
@@ -209,18 +209,18 @@
     constexpr auto between = std::uint64_t{10};  // of the peer's three instances; its frames come late
     auto link = PeerLink();
     link.sent(1, 0, 0);
-    link.heard(note(5, 1), own_life, 1'000);
-    link.heard(note(1, 0, present, 0), own_life, 2'000);
-    link.heard(note(3, 0, between, 0), own_life, 3'000);
+    link.heard(header(5, 1), own_life, 1'000);
+    link.heard(header(1, 0, present, 0), own_life, 2'000);
+    link.heard(header(3, 0, between, 0), own_life, 3'000);
     CHECK(link.heard_life == between);
-    link.heard(note(2, 0, present, 0), own_life, 3'000 + one_second);  // silent for exactly the limit
+    link.heard(header(2, 0, present, 0), own_life, 3'000 + one_second);  // silent for exactly the limit
     CHECK(link.heard_life == between);
-    link.heard(note(3, 0, present, 0), own_life, 3'001 + one_second);
+    link.heard(header(3, 0, present, 0), own_life, 3'001 + one_second);
     CHECK(link.heard_life == present);
     CHECK(link.heard_number == 3);
     link.dialled();
     link.sent(2, 0, 2 * one_second);
-    link.heard(note(4, 2, present), own_life, 2 * one_second + 1'000);
+    link.heard(header(4, 2, present), own_life, 2 * one_second + 1'000);
     CHECK_FALSE(link.stalled);
     CHECK(link.timed_frame == 0);
 }
@@ -228,11 +228,11 @@
 TEST_CASE("while the current instance keeps sending, frames of the former one are ignored") {
     constexpr auto present = std::uint64_t{10};
     auto link = PeerLink();
-    link.heard(note(5, 0), own_life, 0);
+    link.heard(header(5, 0), own_life, 0);
     auto number = std::uint64_t{0};
     for (auto now = Microseconds{1'000}; now < 10 * one_second; now += 500 * one_millisecond) {
-        link.heard(note(++number, 0, present), own_life, now);
-        link.heard(note(5 + number, 0), own_life, now + 499 * one_millisecond);
+        link.heard(header(++number, 0, present), own_life, now);
+        link.heard(header(5 + number, 0), own_life, now + 499 * one_millisecond);
         CHECK(link.heard_life == present);
     }
 }
@@ -241,10 +241,10 @@
     auto link = PeerLink();
     link.sent(1, 0, 0);
     auto now = Microseconds{0};
-    for (auto const later : {0U, 1U, 2U}) link.heard(note(1, 0, their_life + later, 0), own_life, ++now);
+    for (auto const later : {0U, 1U, 2U}) link.heard(header(1, 0, their_life + later, 0), own_life, ++now);
     link.dialled();
-    link.heard(note(2, 0, their_life, 0), own_life, ++now);  // two restarts ago
+    link.heard(header(2, 0, their_life, 0), own_life, ++now);  // two restarts ago
     CHECK((link.heard_life == their_life + 2 && !link.stalled));
-    link.heard(note(2, 0, their_life, 0), own_life, now + 2 * one_second);  // the only one that sends: it is running
+    link.heard(header(2, 0, their_life, 0), own_life, now + 2 * one_second);  // the only one that sends: it is running
     CHECK(link.heard_life == their_life);
 }
