--- a/source/base/messages_adapted.hpp
+++ b/source/base/messages_adapted.hpp
@@ -1,10 +1,11 @@
 #pragma once
-// The fields of each message, for reading and writing. Compiling it takes seconds: only for units that do so.
+// The fields of each message, for serialization. Takes seconds to compile: include it only where messages are
+// serialized.
 #include "base/messages.hpp"
 
 BOOST_HANA_ADAPT_STRUCT(dockrock::Probe, token, members);
 BOOST_HANA_ADAPT_STRUCT(dockrock::ProbeAnswer, token, members);
-BOOST_HANA_ADAPT_STRUCT(dockrock::ProbeFor, token, target);
+BOOST_HANA_ADAPT_STRUCT(dockrock::IndirectProbe, token, target);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Prepare, partition, term, ballot, proof);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Promise, partition, term, ballot, accepted_ballot, accepted);
 BOOST_HANA_ADAPT_STRUCT(dockrock::Accept, partition, term, ballot, record, proof);
--- a/source/base/text_difference.cpp
+++ b/source/base/text_difference.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-constexpr auto gram = std::size_t{24};                               // texts agree again where so many bytes do
-constexpr auto windows = std::to_array<std::size_t>({512, 16'384});  // looked through after a difference
-constexpr auto run_most = std::size_t{4'096};                        // of bytes that agree, counted
-constexpr auto edits_most = std::size_t{256};                        // then the rest is one edit
-constexpr auto edit_overhead = std::size_t{40};                      // of one edit as JSON
+constexpr auto gram = std::size_t{24};                               // matching bytes that end a difference
+constexpr auto windows = std::to_array<std::size_t>({512, 16'384});  // bytes searched after a difference, in turn
+constexpr auto max_compared_run = std::size_t{4'096};                // matching bytes counted to compare candidates
+constexpr auto max_edits = std::size_t{256};                         // beyond it the rest becomes one edit
+constexpr auto edit_overhead = std::size_t{40};                      // bytes of one edit as JSON
 constexpr auto digest_prime = std::uint64_t{0x9e3779b97f4a7c15};
 
-auto common_front(std::string_view one, std::string_view other) -> std::size_t {
+auto common_prefix(std::string_view one, std::string_view other) -> std::size_t {
     auto const least = std::min(one.size(), other.size());
     auto const from = one.substr(0, least);
     return static_cast<std::size_t>(std::mismatch(from.begin(), from.end(), other.begin()).first - from.begin());
 }
 
-auto common_back(std::string_view one, std::string_view other) -> std::size_t {
+auto common_suffix(std::string_view one, std::string_view other) -> std::size_t {
     auto const least = std::min(one.size(), other.size());
     auto const from = one.substr(one.size() - least);
     auto const differs = std::mismatch(from.rbegin(), from.rend(), other.rbegin()).first;
     return static_cast<std::size_t>(differs - from.rbegin());
 }
 
-struct Resumption {  // where two texts agree again, counted from the place where they differ
+struct Resumption {  // offsets, from the start of a difference, at which the texts agree again
     std::size_t in_base = 0;
     std::size_t in_fresh = 0;
 };
@@ -40,9 +40,9 @@
     return word * digest_prime;
 }
 
-// Where grams of a text stand; of two under one hash the first is kept.
+// Hash table of the offsets of all grams in a text; on a collision the first one is kept.
 struct GramTable {
-    std::vector<std::uint32_t> places;  // and one, 0: none
+    std::vector<std::uint32_t> places;  // offset + 1; 0: none
     int shift = 0;
 
     explicit GramTable(std::string_view text) {
@@ -60,15 +60,15 @@
     }
 };
 
-// The first bytes of `fresh` that also stand at the same place of `base`.
+// The first gram of `fresh` that is at the same offset in `base`.
 auto find_in_place(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     for (auto place = std::size_t{0}; place + gram <= std::min(base.size(), fresh.size()); ++place)
         if (base.substr(place, gram) == fresh.substr(place, gram)) return Resumption{place, place};
     return std::nullopt;
 }
 
-// The first bytes of `fresh` that also stand anywhere in `base`.
-auto find_moved(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
+// The first gram of `fresh` that is anywhere in `base`.
+auto find_anywhere(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     auto const table = GramTable(base);
     for (auto place = std::size_t{0}; place + gram <= fresh.size(); ++place) {
         auto const sought = fresh.substr(place, gram);
@@ -78,21 +78,22 @@
     return std::nullopt;
 }
 
-// Of the two the one after which more bytes agree: in a text that repeats itself the nearest may be a wrong one.
+// Chooses the candidate followed by more matching bytes: in repetitive text the nearest match may be a wrong one.
 auto find_resumption(std::string_view base, std::string_view fresh, std::size_t window) -> std::optional<Resumption> {
     auto const near_base = base.substr(0, window);
     auto const near_fresh = fresh.substr(0, window);
     if (near_base.size() < gram || near_fresh.size() < gram) return std::nullopt;
     auto const in_place = find_in_place(near_base, near_fresh);
-    auto const moved = find_moved(near_base, near_fresh);
+    auto const moved = find_anywhere(near_base, near_fresh);
     if (!in_place || !moved) return in_place ? in_place : moved;
-    auto const agreeing = [&](Resumption const& from) {
-        return common_front(base.substr(from.in_base, run_most), fresh.substr(from.in_fresh, run_most));
+    auto const matching_bytes = [&](Resumption const& from) {
+        return common_prefix(
+            base.substr(from.in_base, max_compared_run), fresh.substr(from.in_fresh, max_compared_run));
     };
-    return agreeing(*in_place) >= agreeing(*moved) ? in_place : moved;
+    return matching_bytes(*in_place) >= matching_bytes(*moved) ? in_place : moved;
 }
 
-// Looks near first, as most changes are small.
+// Tries the small window first, as most changes are small.
 auto find_resumption_near(std::string_view base, std::string_view fresh) -> std::optional<Resumption> {
     for (auto const window : windows)
         if (auto const found = find_resumption(base, fresh, window)) return found;
@@ -104,13 +105,13 @@
 auto edits_between(std::string_view base, std::string_view fresh) -> TextEdits {
     TextEdits edits;
     while (true) {
-        auto const kept = common_front(base, fresh);
+        auto const kept = common_prefix(base, fresh);
         if (kept == base.size() && kept == fresh.size()) return edits;
         base.remove_prefix(kept);
         fresh.remove_prefix(kept);
-        auto const resumed = edits.size() + 1 < edits_most ? find_resumption_near(base, fresh) : std::nullopt;
+        auto const resumed = edits.size() + 1 < max_edits ? find_resumption_near(base, fresh) : std::nullopt;
         if (!resumed) {
-            auto const back = common_back(base, fresh);
+            auto const back = common_suffix(base, fresh);
             edits.push_back({kept, base.size() - back, std::string(fresh.substr(0, fresh.size() - back))});
             return edits;
         }
--- a/source/consensus/answer_checks.cpp
+++ b/source/consensus/answer_checks.cpp
@@ -11,7 +11,7 @@
 constexpr auto nothing_read = 503;
 constexpr auto not_known = 504;
 
-auto held_back(CallDone done, int status, std::string_view what) -> CallDone {
+auto withheld_answer(CallDone done, int status, std::string_view what) -> CallDone {
     done.status = status;
     done.body = error_body(what);
     done.etag.clear();
@@ -30,12 +30,12 @@
     return {leads, record.voters.size(), static_cast<std::size_t>(grants)};
 }
 
-// A record is decided once all its members hold, synced, whatever was acknowledged before (I5).
+// A record is decided only after all its members have synced everything acknowledged earlier (I5).
 auto durability_facts(Partition const& partition, Sequence const& covered) -> invariants::DurabilityFacts {
     auto const& record = partition.votes.decided;
     auto const reported = [&](std::string const& follower) {
         auto const found = partition.progress.find(follower);
-        return found != partition.progress.end() && found->second.has >= covered;
+        return found != partition.progress.end() && found->second.synced_sequence >= covered;
     };
     auto const followers = std::count_if(record.followers.begin(), record.followers.end(), reported);
     auto const here = partition.synced >= covered ? 1U : 0U;
@@ -48,12 +48,12 @@
 auto checked_read(Partition const& partition, Context const& context, CallDone done) -> CallDone {
     if (done.status != acknowledged || invariants::check_read(lease_facts(partition, context.self, context.now)))
         return done;
-    return held_back(std::move(done), nothing_read, "no leased leader now; nothing was read");
+    return withheld_answer(std::move(done), nothing_read, "no leased leader now; nothing was read");
 }
 
 auto checked_outcome(Partition const& partition, Sequence const& covered, CallDone done) -> CallDone {
     if (done.status != acknowledged || invariants::check(durability_facts(partition, covered))) return done;
-    return held_back(std::move(done), not_known, "outcome not known; ask again under the same change identity");
+    return withheld_answer(std::move(done), not_known, "outcome not known; ask again under the same change identity");
 }
 
 }  // namespace dockrock
--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -1,4 +1,4 @@
-// Changes: queued, tried, logged, copied, acknowledged. docs/design.md 5.4 and 7.
+// Changes at the leader: queueing, applying, logging, replicating, acknowledging. docs/design.md 5.4 and 7.
 #include <algorithm>
 
 #include "consensus/answer_checks.hpp"
@@ -7,11 +7,11 @@
 namespace dockrock {
 
 namespace {
-constexpr auto outcomes_kept = std::size_t{1024};
-constexpr auto queue_limit = std::size_t{256};
+constexpr auto max_outcomes = std::size_t{1024};
+constexpr auto max_queue_length = std::size_t{256};
 
-// Of a change that is wrong by itself no version is told.
-auto etag_told(int status, Sequence const& sequence) -> std::string {
+// An error that does not depend on the current version (neither 200 nor 412) carries no ETag.
+auto etag_for(int status, Sequence const& sequence) -> std::string {
     return status == 200 || status == 412 ? etag_of(sequence) : std::string();
 }
 
@@ -24,7 +24,8 @@
         copy.outcomes.begin(), copy.outcomes.end(), [&](auto const& outcome) { return outcome.identity == identity; });
 }
 
-// Tells a change from another one under the same identity. Without a base it is the one that older copies hold.
+// Detects another change under the same identity. For a call without a base the digest equals the one that older
+// copies hold.
 auto digest_of(Call const& asked) -> std::uint64_t {
     auto const on_base = asked.base.empty() ? std::string() : " on " + asked.base;
     return hash_text(asked.operation + on_base + "\n" + asked.if_match + "\n" + asked.body) >> 1U;
@@ -32,8 +33,8 @@
 }  // namespace
 
 auto Partition::replicate(Context& context) -> void {
-    // The leader's own copy is synced first: a leader that restarts can then
-    // never give one sequence to two changes (design 5.4).
+    // The leader syncs its own copy before it sends any: a leader that restarts
+    // can then never assign one sequence to two changes (design 5.4).
     in_flight = true;
     replicating = copy;
     replicating_change.reset();
@@ -44,19 +45,19 @@
     for (auto& [identity, follower] : progress) follower.lacks_base = false;
     replication_sent_at = context.now;
     replication_sent = false;
-    settle(context);
+    advance_commit(context);
 }
 
 auto Partition::send_replication(Context& context) -> void {
     for (auto const& [identity, follower] : progress) {
-        if (follower.has >= replicating.sequence) continue;
+        if (follower.synced_sequence >= replicating.sequence) continue;
         if (replicating_change && !follower.lacks_base)
             context.sends.push_back({identity, AppendChange{index, votes.decided, *replicating_change}});
         else context.sends.push_back({identity, Append{index, votes.decided, replicating}});
     }
 }
 
-auto Partition::settle(Context& context) -> void {
+auto Partition::advance_commit(Context& context) -> void {
     if (!in_flight || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     if (synced < replicating.sequence) return;
     if (!replication_sent) {
@@ -65,22 +66,22 @@
         send_replication(context);
     }
     if (!all_have(replicating.sequence)) return;
-    if (!has_lease(context.self, context.now)) return;  // nothing is told without one; a grant that comes settles it
+    if (!has_lease(context.self, context.now)) return;  // no answer without a lease; the next grant calls this again
     committed = replicating;
     in_flight = false;
     std::erase_if(waiters, [&](auto const& waiter) {
         if (waiter.sequence > committed->sequence) return false;
-        auto const etag = etag_told(waiter.status, waiter.sequence);
+        auto const etag = etag_for(waiter.status, waiter.sequence);
         context.done.push_back(
             checked_outcome(*this, waiter.sequence, {waiter.origin, waiter.token, waiter.status, waiter.body, etag}));
         return true;
     });
     if (copy.sequence > committed->sequence) replicate(context);
-    take_queued(context);
+    process_queued(context);
 }
 
 auto Partition::call(Context& context, std::string const& origin, std::uint64_t token, Call const& asked) -> void {
-    if (!is_leader(context.self) || queued.size() >= queue_limit) {
+    if (!is_leader(context.self) || queued.size() >= max_queue_length) {
         context.done.push_back(
             {origin, token, 503,
              error_body(is_leader(context.self) ? "too many changes waiting" : "not the leader of this partition"),
@@ -88,13 +89,13 @@
         return;
     }
     queued.push_back({origin, token, asked, context.now});
-    take_queued(context);
+    process_queued(context);
 }
 
-auto Partition::take_queued(Context& context) -> void {
+auto Partition::process_queued(Context& context) -> void {
     if (queued.empty()) return;
-    // Only in the term's own sequences: in those of the term before, a former leader may
-    // have given the next one to a change that was never acknowledged.
+    // Changes wait for the first copy of the current term: in the sequences of the term before,
+    // a former leader may have assigned the next one to a change that was never acknowledged.
     auto const ready = committed && copy.sequence.term == votes.decided.term && votes.sealed < votes.decided.term &&
         has_lease(context.self, context.now);
     auto before = std::optional<Copy>();
@@ -102,14 +103,14 @@
     queued.clear();
     for (auto& item : pending) {
         auto const reads = item.call.operation == "get" || item.call.operation == "outcome";
-        // What a change came to is told only once this term's first copy is on
-        // all disks: until then a partner may hold a copy in which it lives; nor once it is sealed.
+        // Outcomes of changes are answered only after this term's first copy is synced at all members (before that,
+        // another member's copy may hold the change), and not after the term is sealed.
         auto const own_term =
             committed && committed->sequence.term == votes.decided.term && votes.sealed < votes.decided.term;
         auto const readable =
             committed && has_lease(context.self, context.now) && (own_term || item.call.operation == "get");
         if (reads ? readable : ready) change(context, item, before);
-        else if (context.now - item.since > queued_limit)
+        else if (context.now - item.since > max_queue_wait)
             context.done.push_back(
                 {item.origin, item.token, 503, error_body("no leased leader now; nothing was changed"), ""});
         else queued.push_back(std::move(item));
@@ -120,7 +121,7 @@
     if (!in_flight) replicate(context);
 }
 
-// A node that holds the newest document is told so, without the document.
+// Answers 304 without the document where the caller already holds the newest one.
 auto Partition::read_copy(Context& context, Queued const& item) -> void {
     auto const etag = etag_of(committed->sequence);
     auto read = checked_read(*this, context, CallDone{item.origin, item.token, 200, "", etag});
@@ -129,8 +130,8 @@
     context.done.push_back(std::move(read));
 }
 
-// What a change came to, by its identity: acknowledged, under way, or not known.
-auto Partition::tell_outcome(Context& context, Queued const& item) -> void {
+// Answers the state of a change by its identity: acknowledged, under way, or not known.
+auto Partition::answer_outcome(Context& context, Queued const& item) -> void {
     auto const& identity = item.call.identity;
     auto const done = find_outcome(copy, identity);
     if (done == copy.outcomes.end()) {
@@ -142,7 +143,7 @@
     context.done.push_back({item.origin, item.token, settled ? 200 : 202, std::move(body), etag_of(done->sequence)});
 }
 
-// The same change again gets the same answer, another one under its identity none.
+// Repeats the answer for a retry of the same change; refuses another change under the same identity.
 auto Partition::repeat_change(Context& context, Queued const& item, Outcome const& done, std::uint64_t digest) -> void {
     if (done.digest != digest) {
         auto body = error_body("this change identity was used for another change");
@@ -156,10 +157,10 @@
     waiters.push_back({item.origin, item.token, done.sequence, 200, std::move(body), context.now});
 }
 
-// Refused only by what is committed: an earlier change may yet come to nothing.
+// A refusal is answered only once the copy that it rests on is committed: an uncommitted change may still be lost.
 auto Partition::refuse_change(Context& context, Queued const& item, int status, std::string body) -> void {
     if (copy.sequence <= committed->sequence) {
-        auto etag = etag_told(status, copy.sequence);
+        auto etag = etag_for(status, copy.sequence);
         return context.done.push_back({item.origin, item.token, status, std::move(body), std::move(etag)});
     }
     waiters.push_back({item.origin, item.token, copy.sequence, status, std::move(body), context.now});
@@ -167,10 +168,10 @@
 
 auto Partition::make_change(Queued const& item, std::string document, std::uint64_t digest, Microseconds now) -> void {
     copy.document = std::move(document);
-    // Under the term that decides on it: a sequence of an earlier one may have been given to a change that is lost.
+    // In the current term: a sequence of an earlier term may have been assigned to a change that was lost.
     copy.sequence = Sequence{votes.decided.term, copy.sequence.number + 1};
     copy.outcomes.push_back({item.call.identity, copy.sequence, digest});
-    if (copy.outcomes.size() > outcomes_kept) copy.outcomes.erase(copy.outcomes.begin());
+    if (copy.outcomes.size() > max_outcomes) copy.outcomes.erase(copy.outcomes.begin());
     auto body = outcome_body(item.call.identity, "acknowledged", copy.sequence);
     waiters.push_back({item.origin, item.token, copy.sequence, 200, std::move(body), now});
 }
@@ -178,7 +179,7 @@
 auto Partition::change(Context& context, Queued const& item, std::optional<Copy>& before) -> void {
     auto const& asked = item.call;
     if (asked.operation == "get") return read_copy(context, item);
-    if (asked.operation == "outcome") return tell_outcome(context, item);
+    if (asked.operation == "outcome") return answer_outcome(context, item);
     auto const digest = digest_of(asked);
     auto const done = find_outcome(copy, asked.identity);
     if (done != copy.outcomes.end()) return repeat_change(context, item, *done, digest);
--- a/source/consensus/claim_replication.cpp
+++ b/source/consensus/claim_replication.cpp
@@ -1,4 +1,4 @@
-// Claims of run-once tickets at the leader and its followers. docs/design.md 10.5.
+// Granting and replicating claims of run-once requests. docs/design.md 10.5.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Microseconds claim_wait_limit = 3 * one_second;
-constexpr auto lines_between_wholes = std::size_t{8'192};
+constexpr auto max_lines_between_snapshots = std::size_t{8'192};
 }  // namespace
 
 auto Partition::answer_claim(Context& context, std::string const& origin, std::uint64_t token, ClaimState state)
@@ -29,38 +29,38 @@
     if (ask.release) {
         if (mine) {
             claims.put(ask.key, "-", context.now, false);
-            claims.fresh.insert(ask.key);
+            claims.unsaved.insert(ask.key);
             push_claims(context);
         }
         return answer_claim(context, origin, ask.token, ClaimState::granted);
     }
     if (taken && !mine) return answer_claim(context, origin, ask.token, ClaimState::seen);
-    if (mine && claims.settled(ask.key)) return answer_claim(context, origin, ask.token, ClaimState::granted);
+    if (mine && claims.is_replicated(ask.key)) return answer_claim(context, origin, ask.token, ClaimState::granted);
     if (!mine) {
-        if (claims.held.size() >= claims_kept) return answer_claim(context, origin, ask.token, ClaimState::full);
+        if (claims.held.size() >= max_claims) return answer_claim(context, origin, ask.token, ClaimState::full);
         claims.put(ask.key, ask.ticket, context.now, false);
-        claims.fresh.insert(ask.key);
+        claims.unsaved.insert(ask.key);
     }
     claims.waiters.push_back({origin, ask.token, ask.key, ask.ticket, context.now});
     push_claims(context);
 }
 
-// One save at a time: claims that come meanwhile share the next sync.
+// Only one save is in progress at a time: claims that come in the meantime share the next sync (group commit).
 auto Partition::push_claims(Context& context) -> void {
-    if (claims.save_token != 0 || claims.fresh.empty()) return replicate_claims(context);
+    if (claims.save_token != 0 || claims.unsaved.empty()) return replicate_claims(context);
     std::string text;
-    for (auto const& key : claims.fresh) text += write_claim(key, claims.held[key], context.now);
-    claims.logged += claims.fresh.size();
-    claims.saving.swap(claims.fresh);
-    claims.fresh.clear();
+    for (auto const& key : claims.unsaved) text += write_claim(key, claims.held[key], context.now);
+    claims.logged += claims.unsaved.size();
+    claims.saving.swap(claims.unsaved);
+    claims.unsaved.clear();
     claims.save_token = save_claims(context, text, {});
 }
 
 auto Partition::save_claims(Context& context, std::string text, std::vector<IdentifiedMessage> after) -> std::uint64_t {
     auto const token = save(context, false, std::move(after));
     auto& saved = context.saves.back().saved;
-    saved.claims_whole = claims.logged > lines_between_wholes + claims.held.size();
-    saved.claims = saved.claims_whole ? claims.whole(context.now, false) : std::move(text);
+    saved.claims_whole = claims.logged > max_lines_between_snapshots + claims.held.size();
+    saved.claims = saved.claims_whole ? claims.write_all(context.now, false) : std::move(text);
     if (saved.claims_whole) claims.logged = claims.held.size();
     return token;
 }
@@ -70,7 +70,7 @@
     claims.save_token = 0;
     for (auto const& key : claims.saving) {
         if (auto const found = claims.held.find(key); found != claims.held.end())
-            found->second.synced = !claims.fresh.contains(key);
+            found->second.synced = !claims.unsaved.contains(key);
         claims.to_replicate.insert(key);
     }
     claims.saving.clear();
@@ -78,18 +78,18 @@
     replicate_claims(context);
 }
 
-// The leader's disk first, then the followers': whatever an follower holds,
-// the leader holds too, so that a restart never gives one key to two tickets.
+// Claims go to the followers only after they are synced at the leader. A leader that restarts
+// thus holds all that a follower holds, and never grants one key to two requests.
 auto Partition::replicate_claims(Context& context) -> void {
     if (claims.replication_active || !is_leader(context.self) || votes.sealed >= votes.decided.term) return;
     claims.replicating_claims.clear();
     for (auto const& key : claims.to_replicate)
-        if (!claims.fresh.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
+        if (!claims.unsaved.contains(key) && !claims.saving.contains(key)) claims.replicating_claims.insert(key);
     if (claims.replicating_claims.empty() && !claims.whole_needed) return;
     for (auto const& key : claims.replicating_claims) claims.to_replicate.erase(key);
     claims.replicating_whole = claims.whole_needed;
     claims.replication_batch.clear();
-    if (claims.whole_needed) claims.replication_batch = claims.whole(context.now, true);
+    if (claims.whole_needed) claims.replication_batch = claims.write_all(context.now, true);
     else
         for (auto const& key : claims.replicating_claims)
             if (auto const found = claims.held.find(key); found != claims.held.end())
@@ -141,15 +141,15 @@
     claims.replication_active = false;
     claims.replicating_claims.clear();
     if (claims.replicating_whole) claims.whole_needed = false;
-    settle_claims(context);
+    answer_claim_waiters(context);
     replicate_claims(context);
 }
 
-auto Partition::settle_claims(Context& context) -> void {
+auto Partition::answer_claim_waiters(Context& context) -> void {
     std::erase_if(claims.waiters, [&](auto const& waiter) {
         auto const found = claims.held.find(waiter.key);
         auto const mine = found != claims.held.end() && found->second.ticket == waiter.ticket;
-        if (mine && !claims.settled(waiter.key)) return false;
+        if (mine && !claims.is_replicated(waiter.key)) return false;
         answer_claim(context, waiter.origin, waiter.token, mine ? ClaimState::granted : ClaimState::not_here);
         return true;
     });
@@ -166,11 +166,11 @@
     push_claims(context);
 }
 
-// A new record: the group may be new, so its followers are given all there is.
+// A new record may name new followers, so they are sent all claims.
 auto Partition::claims_under_new_record(Context& context) -> void {
     claims.newest_replication = {0, 0};
     claims.replication_active = false;
-    if (!is_leader(context.self)) return claims.stand_back();
+    if (!is_leader(context.self)) return claims.reset_leader_state();
     claims.whole_needed = true;
     for (auto const& key : claims.replicating_claims) claims.to_replicate.insert(key);
     claims.replicating_claims.clear();
--- a/source/consensus/claims.cpp
+++ b/source/consensus/claims.cpp
@@ -30,7 +30,8 @@
     order.emplace_back(at, key);
 }
 
-// Time while the node was down does not count: a claim is kept longer, never shorter.
+// Ages do not include the time that the node was down, so a claim may be kept for longer than the retention but not
+// for less.
 auto ClaimTable::take(std::vector<ClaimLine> const& lines, Microseconds now, bool synced) -> void {
     for (auto const& line : lines) {
         if (line.age < 0 || line.age > claim_retention) continue;
@@ -49,26 +50,26 @@
     }
 }
 
-auto ClaimTable::whole(Microseconds now, bool only_synced) const -> std::string {
+auto ClaimTable::write_all(Microseconds now, bool only_synced) const -> std::string {
     std::string text;
     for (auto const& [key, claim] : held)
         if (claim.synced || !only_synced) text += write_claim(key, claim, now);
     return text;
 }
 
-auto ClaimTable::settled(std::string const& key) const -> bool {
-    return !whole_needed && !fresh.contains(key) && !saving.contains(key) && !to_replicate.contains(key) &&
+auto ClaimTable::is_replicated(std::string const& key) const -> bool {
+    return !whole_needed && !unsaved.contains(key) && !saving.contains(key) && !to_replicate.contains(key) &&
         !replicating_claims.contains(key);
 }
 
-auto ClaimTable::drop_fresh() -> void {
-    for (auto const& key : fresh) held.erase(key);
-    std::erase_if(waiters, [&](auto const& waiter) { return fresh.contains(waiter.key); });
-    fresh.clear();
+auto ClaimTable::drop_unsaved() -> void {
+    for (auto const& key : unsaved) held.erase(key);
+    std::erase_if(waiters, [&](auto const& waiter) { return unsaved.contains(waiter.key); });
+    unsaved.clear();
 }
 
-auto ClaimTable::stand_back() -> void {
-    drop_fresh();
+auto ClaimTable::reset_leader_state() -> void {
+    drop_unsaved();
     waiters.clear();
     to_replicate.clear();
     replicating_claims.clear();
--- a/source/consensus/group.cpp
+++ b/source/consensus/group.cpp
@@ -1,28 +1,29 @@
-// Who is of a partition's group: the leader and as many followers as losses are
-// to be borne; and who votes. docs/design.md 5.2, 5.5.
+// Choice of a partition's group (the leader and as many followers as machine losses
+// must be tolerated) and of its voters. docs/design.md 5.2, 5.5.
 #include <algorithm>
 
 #include "consensus/partition.hpp"
 
 namespace dockrock {
 
-auto Partition::copies() const -> std::size_t {
+auto Partition::group_size() const -> std::size_t {
     auto const count = core_count != 0 ? core_count : votes.decided.voters.size();
     return count == 0 ? machines_lost + 1 : std::min(machines_lost + 1, majority_of(count));
 }
 
 auto Partition::all_have(Sequence const& sequence) const -> bool {
-    return std::all_of(progress.begin(), progress.end(), [&](auto const& item) { return item.second.has >= sequence; });
+    return std::all_of(
+        progress.begin(), progress.end(), [&](auto const& item) { return item.second.synced_sequence >= sequence; });
 }
 
-auto Partition::follow(Microseconds now) -> void {
+auto Partition::reset_progress(Microseconds now) -> void {
     progress.clear();
     for (auto const& follower : votes.decided.followers) progress[follower] = {now, {}};
 }
 
 auto Partition::lost_followers(Context& context) const -> std::set<std::string> {
     std::set<std::string> lost;
-    auto const others_stay = context.cores().size() >= copies();
+    auto const others_stay = context.cores().size() >= group_size();
     for (auto const& [identity, follower] : progress) {
         if (others_stay && context.leaving(identity)) lost.insert(identity);
         auto const silent = context.now - follower.heard;
@@ -32,16 +33,16 @@
     return lost;
 }
 
-auto Partition::silent_partners(Microseconds now) const -> std::set<std::string> {
+auto Partition::silent_members(Microseconds now) const -> std::set<std::string> {
     std::set<std::string> silent;
     for (auto const& [identity, since] : silent_since)
-        if (now - since < times.silent_memory) silent.insert(identity);
+        if (now - since < times.silent_backoff) silent.insert(identity);
     return silent;
 }
 
-// Those of `from` that are not lost stay; living core nodes take the places of
-// the others, first from areas where no member is. With too few living, lost
-// ones keep their places: the group is never smaller, a change waits for them.
+// Keeps the followers of `from` that are not lost and replaces the others by live core nodes,
+// preferably in areas without a member. With too few live nodes, lost followers stay: the group
+// does not shrink, and changes wait for them.
 auto Partition::followers_for(Context& context, Record const& from, std::set<std::string> const& lost) const
     -> std::vector<std::string> {
     auto const cores = context.cores();
@@ -53,13 +54,13 @@
     auto chosen = Record{0, from.leader, {}, {}};
     auto areas = std::set<std::string>{area_of(from.leader)};
     auto const take = [&](std::string const& identity) {
-        if (chosen.followers.size() + 1 >= copies() || chosen.has_member(identity)) return;
+        if (chosen.followers.size() + 1 >= group_size() || chosen.has_member(identity)) return;
         chosen.followers.push_back(identity);
         areas.insert(area_of(identity));
     };
     for (auto const& identity : from.followers)
         if (!lost.contains(identity)) take(identity);
-    while (chosen.followers.size() + 1 < copies()) {
+    while (chosen.followers.size() + 1 < group_size()) {
         std::vector<std::string> same_area;
         std::vector<std::string> other_area;
         for (auto const& member : cores) {
@@ -76,8 +77,8 @@
     return chosen.followers;
 }
 
-// A core node whose disk came back empty has a new identity; it votes only
-// once a majority has decided a record that names it (design 5.5).
+// Replaces dead and leaving voters by new core nodes, and adds some up to the core count. A core node that
+// lost its disk has a new identity; it votes only after a majority has decided a record that names it (design 5.5).
 auto Partition::renewed_voters(Context& context) const -> std::vector<std::string> {
     auto voters = votes.decided.voters;
     std::vector<std::string> fresh;
@@ -97,12 +98,12 @@
     return voters;
 }
 
-// A polite stop: an follower becomes leader by an ordinary decision. It holds
-// all that was acknowledged; all of the new group get the sealed copy (design 5.6).
+// Transfers leadership before a graceful stop: proposes a follower as leader. It holds all
+// acknowledged changes; every member of the new group gets the sealed copy (design 5.6).
 auto Partition::hand_over(Context& context) -> bool {
     if (!is_leader(context.self) || !healthy) return false;
-    if (proposal || context.now - last_try < times.try_interval) return true;
-    last_try = context.now;
+    if (proposal || context.now - last_proposal_at < times.proposal_interval) return true;
+    last_proposal_at = context.now;
     auto wanted = votes.decided;
     auto lost = std::set<std::string>{context.self};
     for (auto const& follower : votes.decided.followers)
@@ -116,7 +117,7 @@
     others = followers_for(context, wanted, lost);
     wanted.voters = renewed_voters(context);
     auto const living = [&](auto const& item) { return context.alive(item); };
-    if (others.size() + 1 < copies() || !std::all_of(others.begin(), others.end(), living)) return false;
+    if (others.size() + 1 < group_size() || !std::all_of(others.begin(), others.end(), living)) return false;
     propose(context, wanted);
     return true;
 }
--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -42,7 +42,7 @@
     auto const found = known.find(identity);
     if (found == known.end()) return;
     auto& entry = found->second;
-    if (entry.member.state == state_suspect) {  // our own ears outrank a rumour of suspicion
+    if (entry.member.state == state_suspect) {  // direct contact overrides gossiped suspicion
         entry.member.state = state_alive;
         entry.changed_at = now;
     }
@@ -50,72 +50,72 @@
         place = place->second.identity == identity ? pending.erase(place) : std::next(place);
 }
 
-auto Membership::learn(Member const& told, Microseconds now) -> void {
-    if (told.identity.empty()) return;
-    if (told.identity == self.identity) {
-        if (told.state != state_alive && told.incarnation >= self.incarnation) self.incarnation = told.incarnation + 1;
+auto Membership::learn(Member const& report, Microseconds now) -> void {
+    if (report.identity.empty()) return;
+    if (report.identity == self.identity) {
+        if (report.state != state_alive && report.incarnation >= self.incarnation)
+            self.incarnation = report.incarnation + 1;
         return;
     }
-    auto [place, fresh] = known.try_emplace(told.identity);
+    auto [place, fresh] = known.try_emplace(report.identity);
     auto& entry = place->second;
-    auto const newer = fresh || told.incarnation > entry.member.incarnation ||
-        (told.incarnation == entry.member.incarnation && told.state > entry.member.state);
+    auto const newer = fresh || report.incarnation > entry.member.incarnation ||
+        (report.incarnation == entry.member.incarnation && report.state > entry.member.state);
     if (newer) {
-        entry = KnownMember{told, now, 0};
-        remembered_addresses[told.control_address] = told.area;
+        entry = KnownMember{report, now, 0};
+        remembered_addresses[report.control_address] = report.area;
     }
-    // Whoever knows a fleet goes on knowing it: the word counts also where
-    // nothing else about that node is newer.
-    if (told.knows_fleet && !entry.member.knows_fleet) {
+    // A node that knows a fleet goes on knowing it: accepted even where the report is not newer otherwise.
+    if (report.knows_fleet && !entry.member.knows_fleet) {
         entry.member.knows_fleet = true;
         entry.times_gossiped = 0;
     }
-    if (told.leaving && told.incarnation == entry.member.incarnation && !entry.member.leaving) {
+    if (report.leaving && report.incarnation == entry.member.incarnation && !entry.member.leaving) {
         entry.member.leaving = true;
         entry.times_gossiped = 0;
     }
-    if (!newer || told.state != state_alive) return;
-    for (auto& [identity, other] : known) {  // a node that came back under a new identity
-        if (identity == told.identity || other.member.control_address != told.control_address) continue;
-        if (other.member.state == state_dead || other.member.incarnation > told.incarnation) continue;
+    if (!newer || report.state != state_alive) return;
+    for (auto& [identity, other] : known) {  // the same node under a former identity is dead
+        if (identity == report.identity || other.member.control_address != report.control_address) continue;
+        if (other.member.state == state_dead || other.member.incarnation > report.incarnation) continue;
         other.member.state = state_dead;
         other.changed_at = now;
         other.times_gossiped = 0;
     }
 }
 
-auto Membership::rumours(std::size_t most) -> std::vector<Member> {
+auto Membership::gossip(std::size_t most) -> std::vector<Member> {
     std::vector<KnownMember*> entries;
     for (auto& [identity, entry] : known) entries.push_back(&entry);
     std::stable_sort(entries.begin(), entries.end(), [](auto* left, auto* right) {
         return left->times_gossiped < right->times_gossiped;
     });
-    std::vector<Member> told{self};
+    std::vector<Member> members{self};
     for (auto* entry : entries) {
-        if (told.size() > most) break;
+        if (members.size() > most) break;
         ++entry->times_gossiped;
-        told.push_back(entry->member);
+        members.push_back(entry->member);
     }
-    return told;
+    return members;
 }
 
-auto Membership::everyone() const -> std::vector<Member> {
-    std::vector<Member> told{self};
-    for (auto const& [identity, entry] : known) told.push_back(entry.member);
-    return told;
+auto Membership::all_members() const -> std::vector<Member> {
+    std::vector<Member> members{self};
+    for (auto const& [identity, entry] : known) members.push_back(entry.member);
+    return members;
 }
 
 auto Membership::on(
     Probe const& probe, std::string const& from, std::string const& address, Microseconds now, AddressedMessages& out)
     -> void {
-    auto const stranger = !known.contains(from);
+    auto const unknown_sender = !known.contains(from);
     for (auto const& member : probe.members) learn(member, now);
     heard_from(from, now);
     auto const* asker = find(from);
-    auto const thinks_little = stranger || probe.members.size() < 3;
+    auto const knows_few = unknown_sender || probe.members.size() < 3;
     out.push_back(
         {asker != nullptr ? asker->control_address : address,
-         ProbeAnswer{probe.token, thinks_little ? everyone() : rumours(rumours_to_members)}});
+         ProbeAnswer{probe.token, knows_few ? all_members() : gossip(gossip_to_members)}});
 }
 
 auto Membership::on(
@@ -130,8 +130,8 @@
     }
     auto const found = pending.find(answer.token);
     if (found == pending.end()) return;
-    // Another node answers at that address: whoever was probed is gone, whatever
-    // the numbers of its lives say (a lost disk starts them anew).
+    // Another node answers at that address: the probed one is gone, whatever the
+    // incarnation numbers say (they start again after the loss of a disk).
     auto const probed = known.find(found->second.identity);
     auto const* answerer = find(from);
     if (probed != known.end() && answerer != nullptr && probed->first != from &&
@@ -144,10 +144,11 @@
     pending.erase(found);
 }
 
-auto Membership::on(ProbeFor const& ask, std::string const& address, Microseconds now, AddressedMessages& out) -> void {
+auto Membership::on(IndirectProbe const& ask, std::string const& address, Microseconds now, AddressedMessages& out)
+    -> void {
     auto const token = next_token++;
     relayed[token] = {ask.token, address, now};
-    out.push_back({ask.target, Probe{token, rumours(rumours_to_strangers)}});
+    out.push_back({ask.target, Probe{token, gossip(gossip_to_unknown)}});
 }
 
 }  // namespace dockrock
--- a/source/membership/probing.cpp
+++ b/source/membership/probing.cpp
@@ -1,16 +1,16 @@
-// What falls due: probes in turn, second opinions, suspicion and removal. docs/design.md section 4.
+// Periodic work: direct and indirect probes, suspicion and removal. docs/design.md section 4.
 #include "membership/membership.hpp"
 
 namespace dockrock {
 
 namespace {
 constexpr Microseconds contact_interval = 2 * one_second;
-constexpr Microseconds lonely_contact_interval = one_second / 4;  // while no member is known
+constexpr Microseconds isolated_contact_interval = one_second / 4;  // while no member is known
 constexpr auto contacts_at_once = std::size_t{4};
-constexpr auto helpers_asked = 2;
+constexpr auto indirect_probes = 2;
 }  // namespace
 
-auto Membership::judge_pending(Microseconds now, Random& random, AddressedMessages& out) -> void {
+auto Membership::check_pending_probes(Microseconds now, Random& random, AddressedMessages& out) -> void {
     for (auto place = pending.begin(); place != pending.end();) {
         auto const token = place->first;
         auto& waiting = place->second;
@@ -25,9 +25,10 @@
             std::erase_if(helpers, [&](auto const& member) {
                 return member.identity == self.identity || member.identity == waiting.identity;
             });
-            for (auto count = 0; count < helpers_asked && !helpers.empty(); ++count) {
+            for (auto count = 0; count < indirect_probes && !helpers.empty(); ++count) {
                 auto const chosen = random.below(helpers.size());
-                out.push_back({helpers[chosen].control_address, ProbeFor{token, found->second.member.control_address}});
+                out.push_back(
+                    {helpers[chosen].control_address, IndirectProbe{token, found->second.member.control_address}});
                 helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(chosen));
             }
         }
@@ -45,25 +46,25 @@
 }
 
 auto Membership::tick(Microseconds now, Random& random, AddressedMessages& out) -> void {
-    if (last_tick != 0 && now - last_tick > times.frozen_gap) forgive_after_freeze(now);
+    if (last_tick != 0 && now - last_tick > times.frozen_gap) reset_after_pause(now);
     last_tick = now;
-    judge_pending(now, random, out);
-    age_members(now);
+    check_pending_probes(now, random, out);
+    expire_members(now);
     std::erase_if(relayed, [&](auto const& item) { return now - item.second.sent_at > 4 * times.probe_limit; });
     contact_addresses(now, random, out);
     probe_next(now, random, out);
 }
 
-// This node was frozen: its own timers accuse nobody (design 4).
-auto Membership::forgive_after_freeze(Microseconds now) -> void {
+// After a pause of this process, expired timers say nothing about other nodes (design 4).
+auto Membership::reset_after_pause(Microseconds now) -> void {
     pending.clear();
     relayed.clear();
     for (auto& [identity, entry] : known)
         if (entry.member.state == state_suspect) entry.changed_at = now;
 }
 
-// Suspects die in time, and the dead are forgotten.
-auto Membership::age_members(Microseconds now) -> void {
+// Declares members dead that were suspect for too long, and removes dead ones after a while.
+auto Membership::expire_members(Microseconds now) -> void {
     for (auto place = known.begin(); place != known.end();) {
         auto& entry = place->second;
         if (entry.member.state == state_suspect && now - entry.changed_at > times.suspicion_limit) {
@@ -76,9 +77,9 @@
     }
 }
 
-// Seeds are first contacts only; the addresses of all that were met are tried as well.
+// Probes seeds and addresses of nodes known earlier that no live member has: for the first contact, and to rejoin.
 auto Membership::contact_addresses(Microseconds now, Random& random, AddressedMessages& out) -> void {
-    if (now - last_seed <= (known.empty() ? lonely_contact_interval : contact_interval)) return;
+    if (now - last_seed <= (known.empty() ? isolated_contact_interval : contact_interval)) return;
     last_seed = now;
     std::set<std::string> addresses(seeds.begin(), seeds.end());
     for (auto const& [address, area] : remembered_addresses) addresses.insert(address);
@@ -87,10 +88,10 @@
     auto count = std::size_t{0};
     for (auto const& address : addresses)
         if (known.empty() || (random.below(addresses.size()) < contacts_at_once && ++count <= contacts_at_once))
-            out.push_back({address, Probe{0, rumours(rumours_to_strangers)}});
+            out.push_back({address, Probe{0, gossip(gossip_to_unknown)}});
 }
 
-// One member in turn, all of them in a random order before any comes again.
+// Probes one member at a time, round-robin in a random order.
 auto Membership::probe_next(Microseconds now, Random& random, AddressedMessages& out) -> void {
     if (now - last_probe < times.probe_interval) return;
     last_probe = now;
@@ -106,7 +107,7 @@
     auto const& member = known.at(target).member;
     auto const token = next_token++;
     if (member.state != state_dead) pending[token] = {target, now, false};
-    out.push_back({member.control_address, Probe{token, rumours(rumours_to_members)}});
+    out.push_back({member.control_address, Probe{token, gossip(gossip_to_members)}});
 }
 
 }  // namespace dockrock
--- a/tests/model/world.cpp
+++ b/tests/model/world.cpp
@@ -57,12 +57,12 @@
     times.lease_duration = (planted == Planted::lease_longer_than_grant ? 6 : 3) * unit;
     times.heartbeat_interval = unit;
     times.leader_timeout = 2 * unit;
-    times.try_interval = unit / 2;
+    times.proposal_interval = unit / 2;
     times.proposal_limit = 5 * unit;
     times.follower_timeout = 2 * unit;
     times.resend_interval = unit;
-    times.copy_patience = unit;
-    times.rival_patience = 4 * unit;
+    times.copy_timeout = unit;
+    times.rival_timeout = 4 * unit;
     times.disk_limit = 2 * unit;
     times.spare_interval = 3 * unit;
     times.frozen_gap = 2 * unit;
@@ -80,7 +80,7 @@
         node.partition = fresh_partition(setup, node, now);
         if (index < setup.nodes) {
             node.partition.votes.decided = record;
-            node.partition.follow(now);
+            node.partition.reset_progress(now);
             node.disk.votes = node.partition.votes;
             node.disk.copy = node.partition.copy;
             node.disk_blank = false;
@@ -149,9 +149,10 @@
         auto const next = std::move(todo.front());
         todo.erase(todo.begin());
         auto const votes_before = node.partition.votes;
-        auto const met = invariants::met_on_this_thread();
+        auto const met = invariants::violations_on_this_thread();
         next(node.partition, context);
-        if (invariants::met_on_this_thread() != met) violation("code: " + invariants::last_on_this_thread());
+        if (invariants::violations_on_this_thread() != met)
+            violation("code: " + invariants::last_violation_on_this_thread());
         plant_after(setup.planted, node.partition, context, votes_before);
         for (auto& save : context.saves) {
             plant_in_save(setup.planted, save.saved, node.disk);
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -64,14 +64,14 @@
         control.membership.self.control_address = "127.0.0.1:1";
         machine().machines_lost = 1;
         machine().votes.decided = Record{1, "a", {"b"}, {"a", "b", "c", "d"}};
-        machine().follow(clock_now());
+        machine().reset_progress(clock_now());
         hold("first-document", 1);
         grant(clock_now() + 60 * one_second);  // stays while the test lasts
     }
     auto hold(std::string const& text, std::uint64_t number) -> void {
         auto& copy = machine().copy;
         copy.document = text;
-        copy.sequence = machine().synced = machine().progress["b"].has = {1, number};
+        copy.sequence = machine().synced = machine().progress["b"].synced_sequence = {1, number};
         machine().logged = copy.sequence;
         machine().committed = copy;
     }
