--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -1,4 +1,4 @@
-// The node's control side: routing of events to its machines. docs/design.md section 5 and 9.
+// The node's control plane: dispatches events to its state machines. docs/design.md section 5 and 9.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -13,8 +13,8 @@
     load_partitions(saved_parts, had_state, now);
 }
 
-// The old identity is not told to be gone: whoever hears the new one at this address, under a
-// later life, knows it. A disk that held nothing goes on as a new identity, and votes as one.
+// The old identity is not announced as gone: nodes that see the new one at this address with a higher
+// incarnation know it. A node with an empty disk continues as a new identity and votes as one.
 auto Control::take_disk(
     std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_parts,
     bool had_state, Microseconds now) -> void {
@@ -89,7 +89,7 @@
     context.sends.clear();
 }
 
-// Core nodes held alive that don't stop now.
+// Core nodes considered alive that are not shutting down.
 auto Control::staying_cores() const -> std::vector<Member> {
     auto cores = membership.alive_members(true);
     std::erase_if(cores, [](auto const& member) { return member.leaving.value_or(false); });
@@ -109,7 +109,7 @@
     context.leaving = [this](std::string const& identity) { return membership.leaving(identity); };
     work(context);
     drain(context, output);
-    while (!loopback.empty()) {  // a node is also a voter to itself, by the same messages
+    while (!loopback.empty()) {  // a node that is its own voter gets the same messages as others
         auto pending = std::move(loopback);
         loopback.clear();
         for (auto const& item : pending)
@@ -123,8 +123,8 @@
     membership.heard_from(from, now);
     deliver({now, from, address, output}, message);
     publish(now, output);
-    // The next question follows an answer that was held, or that brought news,
-    // without waiting for a tick; answers given at once are paced by the ticks.
+    // After an answer that was held or brought a change, the next request is sent without waiting
+    // for a tick; after immediate answers the ticks limit the rate.
     auto const* answer = std::get_if<NewsAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = news[static_cast<std::size_t>(answer->partition)];
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// One node's control side whole: membership, partitions, news and operator calls.
-// docs/design.md sections 4 to 8.
+// The control plane of one node: membership, partitions, views of their state, operator calls and claims.
+// A state machine without I/O: events go in, a ControlOutput comes out. docs/design.md sections 4 to 8.
 #include <array>
 
 #include "consensus/partition.hpp"
@@ -21,10 +21,10 @@
 inline constexpr auto resting_partition = 4;
 inline constexpr auto service_partitions = 3;
 
-// Whether a number that came with a message names a partition.
+// Whether a number received in a message is a valid partition index.
 inline auto is_partition(int number) -> bool { return number >= 0 && number < static_cast<int>(partition_count); }
 
-// The partition that holds a service, by hash of its name (design 5).
+// The partition that holds a service, selected by the hash of its name (design 5).
 inline auto partition_of_service(std::string_view service) -> int {
     return 1 + static_cast<int>(hash_text(service) % service_partitions);
 }
@@ -35,29 +35,31 @@
     std::string area;
     std::vector<std::string> seeds;
     bool core = false;
-    std::size_t core_count = 4;     // 0: not told (design 5.7)
-    std::size_t machines_lost = 1;  // core nodes, at once, with their disks
+    std::size_t core_count = 4;     // 0: not configured (design 5.7)
+    std::size_t machines_lost = 1;  // core nodes that may be lost at the same time, including their disks
     bool may_form = true;
-    std::size_t load_relays_from = 0;  // nodes from which on load goes through relays; 0: never
-    bool rests = true;                 // this node may be told to rest
+    std::size_t load_relays_from = 0;  // number of alive nodes at which load reports go through relays; 0: never
+    bool rests = true;                 // this node may be put to rest
 };
 
+// The result of a claim that this node requested.
 struct ClaimDone {
     std::uint64_t local_token = 0;
-    ClaimState state = ClaimState::not_here;  // not_here: its fate is not known
+    ClaimState state = ClaimState::not_here;  // not_here: the outcome is unknown
     std::uint64_t term = 0;
 };
 
+// What the caller has to do after an event.
 struct ControlOutput {
     AddressedMessages sends;
     std::vector<Save> saves;
-    std::vector<CallDone> results;                              // for calls made at this node
-    std::vector<std::pair<std::string, BurdenDigest>> digests;  // from other admitting nodes
+    std::vector<CallDone> results;                              // of calls received by this node
+    std::vector<std::pair<std::string, BurdenDigest>> digests;  // load digests of other admitting nodes
     std::vector<std::pair<std::string, LoadSum>> load_sums;     // from the relay
-    std::vector<KeptFeed::Taken> kept;                          // changes of kept prompts, in order
+    std::vector<KeptFeed::Taken> kept;                          // prompt cache changes, in order
     std::vector<ClaimDone> claims;
-    std::vector<NewsNote> notes;  // for the log
-    bool news = false;            // something a snapshot is made of changed
+    std::vector<NewsNote> notes;  // log entries
+    bool news = false;            // an input of the snapshot changed
 };
 
 struct Control {
@@ -79,27 +81,27 @@
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingClaim> claims;
     std::optional<PendingAnew> anew;
-    bool forms_anew = false;  // this core node holds the copies to form from
+    bool forms_anew = false;  // this core node holds the copies that the fleet is recovered from
     Microseconds blank_since = 0;
-    std::vector<std::string> cores_seen;  // the last set of core nodes seen, while this node is blank
+    std::vector<std::string> cores_seen;  // the last set of core nodes seen while this node has no state
     Microseconds cores_since = 0;
     Microseconds last_list_read = -3'600 * one_second;
     Microseconds last_forming = 0;
-    LoadRelay load_relay;  // where this is a core node
+    LoadRelay load_relay;  // used on core nodes only
     LoadRelayChoice load_choice;
     Microseconds load_told_at = -3'600 * one_second;
     KeptFeedTimes kept_times;
     KeptFeed kept_feed;
     Microseconds feed_asked_at = 0;
     std::vector<IdentifiedMessage> loopback;
-    std::uint64_t news_bytes = 0;  // sent as news of documents, and what whole ones would have been
+    std::uint64_t news_bytes = 0;  // document updates sent: actual bytes, and bytes without differences
     std::uint64_t news_bytes_whole = 0;
-    bool resting = false;  // few wakeups: only what keeps this node in the fleet (design 12)
+    bool resting = false;  // few wakeups: only the traffic that keeps this node a member (design 12)
 
     auto start(
         ControlSettings const& given, std::string const& identity, std::uint64_t incarnation, std::uint64_t seed,
         std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void;
-    // A node that started without its disk becomes the core node that the disk says it is.
+    // A node that started without its disk becomes the core node whose state is on the disk.
     auto take_disk(
         std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_parts,
         bool had_state, Microseconds now) -> void;
@@ -110,7 +112,7 @@
     auto call(Microseconds now, std::uint64_t local_token, Call const& asked) -> ControlOutput;
     auto form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput;
     auto claim(Microseconds now, std::uint64_t local_token, ClaimAsk ask) -> ControlOutput;
-    // A partition's live text, as its reader or leader knows it now (design 8.4 and 11).
+    // Takes a newer live text of a partition, from its reader or leader (design 8.4 and 11).
     auto live_read(int partition, Microseconds now, Microseconds asked_at, std::string const& text) -> ControlOutput;
     auto list_read(Microseconds now, Microseconds asked_at, std::string const& text) -> ControlOutput {
         return live_read(configuration_partition, now, asked_at, text);
@@ -119,15 +121,15 @@
     auto digest(std::string const& body, std::uint64_t number, std::set<std::string> const& resting_nodes)
         -> ControlOutput;
 
-    // Whether load goes through relays, by the number of nodes held alive (design 9.8).
+    // Decides by the number of alive nodes whether load goes through relays (design 9.8).
     auto judge_load_relays() -> bool;
     auto nodes_placing() const -> std::int64_t;
-    // This node's word of its load to its relay; what it holds of which relay's sums.
+    // Sends this node's load to its relay; `held` is the last sum it has of the relay `held_of`.
     auto tell_load(
         Microseconds now, std::uint64_t number, std::string body, std::string const& held_of, std::uint64_t held)
         -> ControlOutput;
 
-    // Whether this core node reads the events of a source, and what it read there (design 9.9).
+    // Whether this core node reads the events of a cache source, and the batches it read (design 9.9).
     auto reads_source(std::string_view source, std::string_view area) const -> bool;
     auto kept_read(KeptBatch batch) -> void;
     auto kept_caught_up(KeptBatch const& batch) -> bool;
@@ -142,14 +144,14 @@
     }
     auto knows_fleet() const -> bool;
     auto best_record(int partition) const -> Record const&;
-    // No leader's proof was heard for so long, by any way, that a call sent now would only be held.
+    // No proof of a leader came by any path for so long that a call sent now would only wait.
     auto out_of_contact(Microseconds now, int partition) const -> bool;
 
    private:
     auto appear_as(std::string const& identity, std::uint64_t incarnation) -> void;
     auto load_partitions(std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void;
     auto with_parts(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void;
-    // A message as it came in: when, from whom, and where what it brings about is put.
+    // A received message: arrival time, sender, and where the effects are collected.
     struct Arrival {
         Microseconds now = 0;
         std::string const& from;     // identity of its sender
@@ -177,7 +179,7 @@
     auto on(Arrival const& arrival, AnewAnswer const& answer) -> void;
     auto on(Arrival const& arrival, FormAnew const& order) -> void;
     auto on(Arrival const& arrival, Decided const& decided) -> void;
-    // All others are the partitions' own: between a group's leader, its followers and voters.
+    // All other messages belong to the partitions: between a replica group's leader, followers and voters.
     template <typename GroupMessage>
     auto on(Arrival const& arrival, GroupMessage const& message) -> void;
     auto drain(Context& context, ControlOutput& output) -> void;
--- a/source/control/control_anew.cpp
+++ b/source/control/control_anew.cpp
@@ -1,5 +1,5 @@
-// Forming anew after the loss of every core disk: an operator's deliberate
-// order, from the newest copies that living nodes hold. docs/design.md 5.9.
+// Recovery after the loss of every core disk: ordered explicitly by an operator, from the
+// newest copies that the remaining nodes hold. docs/design.md 5.9.
 #include <algorithm>
 
 #include "control/control.hpp"
@@ -81,7 +81,7 @@
     if (anew->term != 0) {
         auto const& record = best_record(configuration_partition);
         if (record.term > anew->term && !record.leader.empty()) return end_anew(200, "formed anew", output);
-        if (now - anew->sent_at > send_interval) send_anew(now, output);  // the last one may be lost
+        if (now - anew->sent_at > send_interval) send_anew(now, output);  // the previous message may be lost
         if (now - anew->since > forming_limit) end_anew(504, "not formed yet; look at the status, order again", output);
         return;
     }
@@ -109,7 +109,7 @@
     else output.sends.push_back({anew->at, anew->order});
 }
 
-// Only a core node that had no say in the fleet that was: its disk knows nothing better.
+// Accepted only by a core node that was no voter or member of the former fleet: its disk has no newer state.
 auto Control::on_form_anew(Microseconds now, FormAnew const& order, ControlOutput& output) -> void {
     auto const named = std::any_of(partitions.begin(), partitions.end(), [&](auto const& partition) {
         auto const& record = partition.votes.decided;
@@ -125,7 +125,7 @@
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
             partition.copy = {order.partitions[index].sequence, order.partitions[index].document, {}};
-            partition.logged.reset();  // the disk holds another
+            partition.logged.reset();  // the disk holds a different document
             partition.learn(context, Record{order.term, "", {}, order.voters});
         }
     });
--- a/source/control/control_calls.cpp
+++ b/source/control/control_calls.cpp
@@ -1,4 +1,4 @@
-// Operators' calls, passed on to the leader of their partition. docs/design.md section 7.
+// Operator calls, forwarded to the leader of their partition. docs/design.md section 7.
 #include <algorithm>
 
 #include "control/control.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr auto most_hops = 2;
-// Large bodies take their time on the way and to be read.
+// Extra time for large bodies, which take longer to transfer and to parse.
 auto allowance_for(Call const& call, NewsTimes const& times) -> Microseconds {
     return static_cast<Microseconds>(call.body.size()) * times.call_each_mebibyte / (Microseconds{1} << 20U);
 }
@@ -48,13 +48,13 @@
     output.sends.push_back({address, std::move(forward)});
 }
 
-// Of the document that this node holds; empty where it holds none.
+// The ETag of the document that this node holds; empty if it holds none.
 auto Control::held_etag(int partition) const -> std::string {
     auto const& held = news[static_cast<std::size_t>(partition)].copy;
     return held.document.empty() ? std::string() : etag_of(held.sequence);
 }
 
-// The document of that version, if this node still holds it.
+// The document with that ETag; null if this node no longer holds it.
 auto Control::held_document(int partition, std::string const& etag) const -> std::string const* {
     auto const& held = news[static_cast<std::size_t>(partition)];
     if (etag_of(held.copy.sequence) == etag) return &held.copy.document;
@@ -63,14 +63,14 @@
     return found == held.past.end() ? nullptr : &found->second;
 }
 
-// No leader has been heard of for long, by no way: a call sent now would only be held.
+// No proof of a leader arrived by any path for a long time: a call sent now would only wait.
 auto Control::out_of_contact(Microseconds now, int partition) const -> bool {
     auto const& machine = partitions[static_cast<std::size_t>(partition)];
     auto const proven = std::min(proof_age(partition, now), proof_age(configuration_partition, now));
     return proven > times.shed_limit && !machine.has_lease(membership.self.identity, now);
 }
 
-// The leader; every other time another core node, which may have a way to it that this one has not.
+// The leader; on every second attempt another core node, which may reach the leader when this node can't.
 auto Control::next_hop(PendingCall const& pending) -> std::string {
     auto const& record = best_record(pending.call.partition);
     auto others = staying_cores();
@@ -120,7 +120,7 @@
         status = document == nullptr ? 503 : 200;
         if (document != nullptr) body = *document;
     }
-    if (status == 503) {  // nothing was done there: asked again until the limit
+    if (status == 503) {  // not executed there: retried until the limit
         --found->second.outstanding;
         return;
     }
@@ -128,8 +128,8 @@
     calls.erase(found);
 }
 
-// A change travels under its identity, so sending it again finds its outcome
-// and cannot make it twice (design 7).
+// A change carries its identity, so that a retry finds the outcome of the first
+// attempt and cannot apply it twice (design 7).
 auto Control::tick_calls(Microseconds now, ControlOutput& output) -> void {
     std::vector<std::uint64_t> due;
     std::vector<std::uint64_t> over;
--- a/source/control/control_claims.cpp
+++ b/source/control/control_claims.cpp
@@ -1,4 +1,4 @@
-// A node's asking for claims of its run-once tickets. docs/design.md 10.5.
+// Claims for this node's run-once requests, sent to the leader of their partition. docs/design.md 10.5.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -29,12 +29,12 @@
     auto const state = static_cast<ClaimState>(answer.state);
     auto const found = claims.find(answer.token);
     if (found == claims.end() || found->second.ask.partition != answer.partition) return;
-    if (state != ClaimState::granted && state != ClaimState::seen && state != ClaimState::full) return;  // asked again
+    if (state != ClaimState::granted && state != ClaimState::seen && state != ClaimState::full) return;  // retried
     output.claims.push_back({found->second.local_token, state, answer.term});
     claims.erase(found);
 }
 
-// A claim whose fate is not known ends as such: its ticket is never sent.
+// A claim without an answer ends as unknown: its request is never sent to a replica.
 auto Control::tick_claims(Microseconds now, ControlOutput& output) -> void {
     std::vector<std::uint64_t> due;
     for (auto place = claims.begin(); place != claims.end();) {
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -1,4 +1,4 @@
-// Each message to the machine that it is for. docs/design.md sections 5 and 9.
+// Dispatches each message to the state machine that handles it. docs/design.md sections 5 and 9.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -15,13 +15,13 @@
     });
 }
 
-// Heard by every node: it asks the leader of the record for news from now on.
+// Sent to every node, which requests updates from the leader of the record from now on.
 auto Control::on(Arrival const& arrival, Decided const& decided) -> void {
     if (!is_partition(decided.partition)) return;
     auto& item = news[static_cast<std::size_t>(decided.partition)];
     if (decided.record.term > item.record.term) {
         item.record = decided.record;
-        pass_by(item, false);  // the old leader's answer is not waited for
+        pass_by(item, false);  // don't wait for the old leader's answer
         item.unanswered = 0;
     }
     on<Decided>(arrival, decided);
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -1,4 +1,4 @@
-// First forming, handing over, leaving, and digests to others. docs/design.md 5.6, 5.7.
+// First formation of a fleet, handover, leaving, and load digests to other nodes. docs/design.md 5.6, 5.7.
 #include <algorithm>
 
 #include "control/control.hpp"
@@ -6,8 +6,8 @@
 namespace dockrock {
 
 namespace {
-constexpr Microseconds calm_limit = 1'200 * one_millisecond;  // the set of core nodes must stay as it is
-constexpr Microseconds seed_patience = 3 * one_second;        // on top, while a seed was not heard of
+constexpr Microseconds calm_limit = 1'200 * one_millisecond;  // the set of core nodes must be unchanged for so long
+constexpr Microseconds seed_patience = 3 * one_second;        // added while a seed has not been seen
 constexpr Microseconds forming_interval = 700 * one_millisecond;
 constexpr auto forming_jitter = std::uint64_t{400'000};  // microseconds
 
@@ -24,8 +24,8 @@
     return cores;
 }
 
-// The group to propose where none was decided yet: spread over areas, where there are enough.
-// After a loss of all the one that holds the copies is the first leader of all partitions.
+// The replica group to propose when none is decided yet: spread over areas if there are enough.
+// In a recovery, the node that holds the copies becomes the first leader of all partitions.
 auto first_group(Membership const& membership, Partition const& partition) -> Record {
     auto wanted = partition.votes.decided;
     auto const& voters = wanted.voters;
@@ -62,13 +62,13 @@
                                                                           : partitions[index].votes.decided;
 }
 
-// Where the number of core nodes is not told: as many as still have a majority
-// after the losses to be borne.
+// A majority of the configured core nodes; without a configured count, as many
+// as still have a majority after the tolerated losses.
 auto Control::cores_needed() const -> std::size_t {
     return settings.core_count != 0 ? majority_of(settings.core_count) : 2 * settings.machines_lost + 1;
 }
 
-// Whether this node may now name the first voters: the core nodes it sees.
+// Whether this node may propose the first voters now, which are the core nodes it sees.
 auto Control::may_form_now(Microseconds now, std::vector<Member> const& cores) -> bool {
     std::vector<std::string> seen;
     for (auto const& member : cores) seen.push_back(member.identity);
@@ -80,7 +80,7 @@
         blank_since = now;
         return false;
     }
-    // Long enough for any edge node that knows a fleet to be heard first.
+    // Long enough to hear first from any edge node that knows an existing fleet.
     if (settings.core_count != 0)
         return now - blank_since >= (cores.size() >= settings.core_count ? 3 * one_second : 5 * one_second);
     std::set<std::string> heard{membership.self.control_address};
@@ -90,8 +90,8 @@
     return now - cores_since >= calm_limit + (all_heard ? 0 : seed_patience);
 }
 
-// First forming (design 5.7): only among blank core nodes, and only where
-// nobody reachable knows a fleet.
+// First formation (design 5.7): only among core nodes without state, and only if
+// no reachable node knows an existing fleet.
 auto Control::form(Microseconds now, Context& context) -> void {
     auto const& first = partitions[0].votes.decided;
     auto const blank = first.term == 0 && first.voters.empty();
@@ -117,7 +117,8 @@
     }
 }
 
-// Leadership goes on by a decision of this node; copies and votes by the leaders, who are told that it leaves.
+// This node proposes its successors as leader; its copies and votes are moved by the leaders, which learn that it
+// leaves.
 auto Control::hand_over(Microseconds now, bool& pending) -> ControlOutput {
     ControlOutput output;
     if (!membership.self.leaving) begin_leaving(output);
@@ -134,7 +135,7 @@
         output.sends.push_back({member.control_address, Probe{0, {membership.self, membership.self, membership.self}}});
 }
 
-// Whether this node keeps a copy or a vote that another core node could have instead.
+// Whether this node has a copy or a vote that another core node could take over.
 auto Control::has_duties() const -> bool {
     auto const staying = staying_cores();
     for (auto const& partition : partitions) {
@@ -160,7 +161,7 @@
     return output;
 }
 
-// Resting nodes are left alone; they get the next one once they wake.
+// Resting nodes are not woken; they get the next digest once they are awake.
 auto Control::digest(std::string const& body, std::uint64_t number, std::set<std::string> const& resting_nodes)
     -> ControlOutput {
     ControlOutput output;
--- a/source/control/control_kept.cpp
+++ b/source/control/control_kept.cpp
@@ -1,4 +1,4 @@
-// Changes of kept prompts through relays: who is asked, who answers.
+// Distribution of prompt cache changes through relays: which node requests them from which.
 // docs/design.md section 9.9.
 #include "control/control.hpp"
 
@@ -16,7 +16,7 @@
     if (!known && settings.core) kept_feed.add(std::move(batch), true);
 }
 
-// What was read at the source itself; nothing where the feed is further already.
+// Moves the cursor to a batch that was read at the source itself. False if the feed is already ahead of it.
 auto Control::kept_caught_up(KeptBatch const& batch) -> bool {
     auto& cursor = kept_feed.cursors[batch.source];
     if (cursor.life == batch.life && batch.next < cursor.next) return false;
--- a/source/control/control_live.cpp
+++ b/source/control/control_live.cpp
@@ -1,5 +1,5 @@
-// The live texts of the partitions: the list of replicas, and the leaders' words of them.
-// docs/design.md sections 8.4 and 11.
+// The live texts of the partitions: the replica list, and the weights states that the leaders publish.
+// They are distributed with the documents. docs/design.md sections 8.4 and 11.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -10,14 +10,14 @@
     return now - news[configuration_partition].live_at > times.list_fallback && now - last_list_read >= one_second / 2;
 }
 
-// A list that was read whole, or the word of a partition's leader. What can't be read
-// never reaches this machine, so silence undoes no mark (design 8).
+// Takes a list that was read completely, or the text of a partition's leader. A failed read
+// never gets here, so a missing answer does not reset any state of a replica (design 8).
 auto Control::live_read(int partition, Microseconds now, Microseconds asked_at, std::string const& text)
     -> ControlOutput {
     ControlOutput output;
     if (partition == configuration_partition) last_list_read = now;
     auto& item = news[static_cast<std::size_t>(partition)];
-    if (asked_at <= item.live_at) return output;  // overtaken by a later reading
+    if (asked_at <= item.live_at) return output;  // superseded by a later read
     item.live_at = asked_at;
     auto const digest = digest_of(text);
     if (digest == item.live_digest) return output;
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -1,4 +1,4 @@
-// Load through relays: who is told, and what relays tell each other.
+// Load reports through relays: from nodes to their relay, and between relays.
 // docs/design.md section 9.8.
 #include "control/control.hpp"
 
@@ -11,7 +11,7 @@
     return std::max<std::int64_t>(1, count);
 }
 
-// Not in and out again with every node that comes and goes.
+// With hysteresis, so that single nodes joining and leaving do not toggle it: off below four fifths.
 auto Control::judge_load_relays() -> bool {
     auto const from = settings.load_relays_from;
     if (from == 0) return load_choice.relayed = false;
--- a/source/control/control_namings.cpp
+++ b/source/control/control_namings.cpp
@@ -1,4 +1,4 @@
-// Since when versions of weights are named, as the nodes tell each other. docs/design.md section 11.4.
+// Exchange between nodes of the time at which versions of weights became targets. docs/design.md section 11.4.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -8,7 +8,8 @@
     namings.learn(news[static_cast<std::size_t>(partition)].copy.document, now);
 }
 
-// A core node asks another one and any node at all: where the whole core restarted, edges still know.
+// Requests the ages from another core node and from any node: edge nodes still know them after all core nodes
+// restarted.
 auto Control::ask_namings(Microseconds now, ControlOutput& output) -> void {
     if (!settings.core || !namings.ask_due(now)) return;
     for (auto const core_only : {true, false}) {
