--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -117,8 +117,7 @@
     }
 }
 
-// This node proposes its successors as leader; its copies and votes are moved by the leaders, which learn that it
-// leaves.
+// This node proposes its own successors as leader; the leaders, informed that it leaves, move its copies and votes.
 auto Control::hand_over(Microseconds now, bool& pending) -> ControlOutput {
     ControlOutput output;
     if (!membership.self.leaving) begin_leaving(output);
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -1,17 +1,17 @@
-// News to every node, with proofs of freshness, and operator calls passed on.
-// docs/design.md sections 7 and 8.
+// Distribution of the partitions' documents to every node, by long polling, with proofs of freshness.
+// docs/design.md section 8.
 #include "control/control.hpp"
 
 namespace dockrock {
 
-// A record is decided whoever tells it. Of the members that it names the only one left may be one that
-// was not told by its leader: it has to know, or nobody proposes the next record (consensus.md 3.3).
+// A decided record is valid from any sender. The only remaining member of its group may be one that the
+// leader did not inform: it must learn the record, or nobody proposes the next one (consensus.md 3.3).
 auto Control::learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output)
     -> void {
     with_parts(now, output, [&](Context& context) { partition.learn(context, record); });
 }
 
-// The leased leader's committed copy is the news; nothing else ever is.
+// Only a committed copy of a leader with a valid lease is published.
 auto Control::publish(Microseconds now, ControlOutput& output) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto& partition = partitions[index];
@@ -28,7 +28,7 @@
             learn_namings(static_cast<int>(index), now);
         }
         item.proven_at = now;
-        if (item.told_term < item.record.term) {  // a new leader tells everyone where to ask (design 8.1)
+        if (item.told_term < item.record.term) {  // a new leader announces itself to every node (design 8.1)
             item.told_term = item.record.term;
             for (auto const& member : membership.alive_members(false))
                 if (member.identity != membership.self.identity)
@@ -40,8 +40,8 @@
     }
 }
 
-// After an answer that was held the next question is held as well; so it is at
-// a relay with a fresh proof, which answers with what it hears from the leader.
+// After an answer that was held the next request is held as well. The same is true for a
+// relay with a fresh proof, which answers once it gets an update from the leader.
 auto Control::next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool {
     auto const relayed = item.asked_relay && now - item.proven_at < hold_limit(partition);
     return relayed || now - item.asked_at > hold_limit(partition) / 3;
@@ -65,8 +65,8 @@
     }
 }
 
-// Ages are told as of the question's arrival: the asker counts from when it
-// asked, and the time that the question was held here is no age (design 8.2).
+// Ages are reported as of the request's arrival: the requester counts from the time of its
+// request, so the time that the request was held here must not be added (design 8.2).
 auto Control::answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void {
     auto const& ask = waiting.ask;
     auto& item = news[static_cast<std::size_t>(ask.partition)];
@@ -95,8 +95,8 @@
     output.sends.push_back({waiting.address, std::move(answer)});
 }
 
-// A core node whose own proof is fresh holds questions as the leader does, and
-// answers them with what it hears from the leader next (design 8.1).
+// A core node with a fresh proof holds requests like the leader does, and answers
+// them with the next update that it gets from the leader (design 8.1).
 auto Control::relays_news(int partition, Microseconds now) const -> bool {
     if (!settings.core || !load_choice.relayed) return false;
     return now - news[static_cast<std::size_t>(partition)].proven_at < 2 * hold_limit(partition);
@@ -109,11 +109,11 @@
     item.unanswered = 0;
     take_answer(now, item, answer, item.asked_at, output);
     if (item.asked_relay && now - item.proven_at > 2 * hold_limit(answer.partition))
-        item.direct_until = now + times.direct;  // a relay that is behind, or cut off from the leader
+        item.direct_until = now + times.direct;  // the relay is behind or partitioned from the leader
     if (settings.core && load_choice.relayed) answer_waiting(now, answer.partition, output);
 }
 
-// A proof counts from when its own question was asked, however late it comes; content that is newer is always taken.
+// The age of a proof counts from its own request, however late the answer is; newer content is always accepted.
 auto Control::take_answer(
     Microseconds now, PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
@@ -125,7 +125,7 @@
     take_live(item, answer, asked_at, output);
 }
 
-// The question was asked anew since, or of two nodes at once.
+// An answer to an earlier request: a newer one was sent since, or the same one went to two nodes.
 auto Control::take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     auto* asked = past_ask(item, answer.token);
@@ -144,7 +144,7 @@
 
 auto Control::take_copy(Microseconds now, PartitionNews& item, NewsAnswer const& answer, ControlOutput& output)
     -> void {
-    if (!answer.copy || !(answer.copy->sequence > item.copy.sequence)) return;  // never back to an older one
+    if (!answer.copy || !(answer.copy->sequence > item.copy.sequence)) return;  // never replaced by an older one
     auto made = apply_news(item, *answer.copy);
     item.whole_wanted = !made.has_value();
     if (!made) return;
@@ -158,8 +158,8 @@
 
 auto Control::take_live(PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
     -> void {
-    // A list is told apart by its digest: the same text is as fresh as its
-    // freshest reading, another one is taken where it was read later (design 8.4).
+    // Texts are compared by digest: an identical text only gets the later time of
+    // reading, a different one replaces it if it was read later (design 8.4).
     auto const live_at = asked_at - answer.live_age;
     if (live_at <= item.live_at) return;
     if (answer.live_digest == item.live_digest) {
@@ -172,7 +172,7 @@
     }
 }
 
-// Whether the partition may be asked about now: nothing is under way, or too long.
+// Whether a request may be sent now: none is outstanding, or the outstanding one timed out (it is given up here).
 auto Control::ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool {
     if (item.ask_token == 0) return true;
     if (now - item.asked_at < (partition == configuration_partition ? times.ask_limit : times.service_ask_limit))
@@ -185,7 +185,7 @@
     return true;
 }
 
-// A relay where there are many nodes; else the leader, or anyone where none is known.
+// The address to request updates from: a relay in large fleets, else the leader, or any node if no leader is known.
 auto Control::news_target(PartitionNews& item, int partition, Microseconds now) -> std::string {
     item.asked_relay = false;
     if (load_choice.relayed && !settings.core && now >= item.direct_until) {
@@ -200,7 +200,7 @@
     return other_target(item, "");
 }
 
-// Anyone but this node and the one that is asked already.
+// A random node except this one and the one already asked; core nodes only until six requests went unanswered.
 auto Control::other_target(PartitionNews const& item, std::string const& asked) -> std::string {
     auto members = membership.alive_members(item.unanswered < 6);
     std::erase_if(members, [&](auto const& member) {
@@ -227,7 +227,7 @@
         auto const ask = NewsAsk{static_cast<int>(index), item.ask_token,     item.record.term, item.copy.sequence,
                                  item.live_digest,        now - item.live_at, item.whole_wanted};
         output.sends.push_back({target, ask});
-        // Where the last question was not answered, another node, whoever it is, may relay its proof.
+        // If the last request was not answered, ask a second node, which may relay the proof it holds.
         auto const other = item.unanswered > 0 ? other_target(item, target) : std::string();
         if (!other.empty()) output.sends.push_back({other, ask});
     }
--- a/source/control/kept_feed.cpp
+++ b/source/control/kept_feed.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// A letter for the weights, a capital where it is kept, and the part's hash.
+// Each change is one letter for the index of the weights, upper case if cached, then the part's hash in hex.
 auto write_changes(std::vector<KeptChange> const& changes) -> std::string {
     std::string text;
     text.reserve(changes.size() * (part_letters + 1));
@@ -53,8 +53,8 @@
     return best == cores.end() ? nullptr : &*best;
 }
 
-// A batch that overlaps what is known is applied whole: its last word on each
-// part stands either way.
+// A batch that overlaps the known events is applied as a whole: the last change of
+// each part is the same either way.
 auto KeptFeed::judge(KeptBatch const& batch) -> Verdict {
     auto& cursor = cursors[batch.source];
     auto const same_life = cursor.life == batch.life;
@@ -75,7 +75,7 @@
     }
 }
 
-// Whoever holds a position in another life's log gets all that is left of this one.
+// A node whose position is in the log of a former process gets the whole log.
 auto KeptFeed::answer(FeedAsk const& ask) const -> FeedAnswer {
     FeedAnswer answer;
     answer.feed = id;
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Changes of the prompts that replicas and stores keep: each source is read by
-// one core node and passed on to all nodes through relays. docs/design.md 9.9.
+// Changes of the prompt caches of replicas and cache stores: one core node reads each source
+// and forwards its events to all nodes through relays. docs/design.md 9.9.
 #include <deque>
 
 #include "membership/membership.hpp"
@@ -8,16 +8,16 @@
 namespace dockrock {
 
 struct KeptFeedTimes {
-    Microseconds between_cores = 200 * one_millisecond;  // between a core node's questions to another
-    Microseconds busy = 250 * one_millisecond;           // between a node's questions to its relay,
-    Microseconds idle = one_second;                      // where it has had no requests for a while
-    Microseconds busy_for = 2 * one_second;
+    Microseconds between_cores = 200 * one_millisecond;  // polling interval between core nodes
+    Microseconds busy = 250 * one_millisecond;           // polling interval of a node at its relay,
+    Microseconds idle = one_second;                      // and the same if it had no requests for a while
+    Microseconds busy_for = 2 * one_second;              // time since the last load report that counts as busy
 };
 
-// One part of a prompt that its source keeps from now on, or no longer.
+// A part of a prompt that was added to, or evicted from, the cache of a source.
 struct KeptChange {
-    std::uint64_t part = 0;   // hash of the wall and the part
-    std::size_t weights = 0;  // index into the batch's names of weights
+    std::uint64_t part = 0;   // hash of the isolation domain and the part
+    std::size_t weights = 0;  // index into the batch's list of weights
     bool kept = false;
     auto operator==(KeptChange const&) const -> bool = default;
 };
@@ -26,17 +26,18 @@
 auto write_changes(std::vector<KeptChange> const& changes) -> std::string;
 auto read_changes(std::string_view text) -> std::optional<std::vector<KeptChange>>;
 
-// Which core node reads a source: one of the source's zone where there is one.
-// Two that disagree for a while both read it; batches may overlap.
+// The core node that reads a source, by rendezvous hashing; one in the source's zone if there is any.
+// While views of the membership differ, two nodes may read it, so batches may overlap.
 auto reader_of(std::string_view source, std::string_view area, std::vector<Member> const& cores) -> Member const*;
 
+// A log of cache change batches that other nodes poll, and the position of this node in the logs of others.
 struct KeptFeed {
-    // What this node knows of a source's events: everything before `next`.
+    // How far this node knows the events of a source: all before `next`.
     struct Cursor {
         std::string life;
         std::uint64_t next = 0;
     };
-    enum class Verdict { known, follows, gap };
+    enum class Verdict { known, follows, gap };  // of a batch: already known, next one, events before it are missing
     struct Entry {
         std::uint64_t position = 0;
         bool own = false;  // read by this node itself
@@ -50,20 +51,22 @@
     };
     struct Taken {
         KeptBatch batch;
-        bool gap = false;  // events before it never came here
+        bool gap = false;  // events before it are missing
     };
 
-    std::uint64_t id = 0;  // of this life's log
+    std::uint64_t id = 0;  // of this process's log, random
     std::uint64_t next_position = 1;
     std::deque<Entry> log;
     std::size_t log_bytes = 0;
     std::map<std::string, Cursor> cursors;    // by source
-    std::map<std::string, Reading> readings;  // by the identity of the node whose log it is
+    std::map<std::string, Reading> readings;  // by the identity of the node that has the log
 
+    // Compares a batch with the cursor of its source and advances the cursor.
     auto judge(KeptBatch const& batch) -> Verdict;
     auto add(KeptBatch batch, bool own) -> void;
     auto answer(FeedAsk const& ask) const -> FeedAnswer;
     auto ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk;
+    // The batches of an answer that were not known.
     auto take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken>;
     auto forget_except(std::set<std::string> const& sources) -> void;
 };
--- a/source/control/list_pace.cpp
+++ b/source/control/list_pace.cpp
@@ -9,7 +9,7 @@
 constexpr Microseconds longest_backoff = 3 * one_second;
 }  // namespace
 
-// Shares of the time in which a leaving replica must get nothing new (design 8.4).
+// Sets the intervals as fractions of the time in which a draining replica must stop getting requests (design 8.4).
 auto ListPace::bound(Microseconds drain, std::int64_t calls) -> void {
     interval = std::min(900 * one_millisecond, drain * 3 / 10);
     fallback = std::min(2 * one_second, drain * 2 / 3);
@@ -18,8 +18,8 @@
     calls_each_second = std::max<std::int64_t>(1, calls);
 }
 
-// Where one call of each node is too much for a second, so long that all nodes
-// together stay within half of the calls.
+// The window over which nodes spread their reads. If one read by each node exceeds half of the rate limit
+// in a second, the window is so long that all nodes together stay within half of the limit.
 auto ListPace::spread_over(std::size_t members) const -> Microseconds {
     auto const calls = static_cast<Microseconds>(members * pages);
     return 2 * calls <= calls_each_second ? spread : std::max(spread, calls * 2 * one_second / calls_each_second);
@@ -49,7 +49,7 @@
     backoff = 0;
 }
 
-// Doubled each time, and never in step with other nodes.
+// Exponential backoff with jitter, so that nodes don't retry in step.
 auto ListPace::failed(ListView const& view, Microseconds now, Random& random) -> void {
     auto const most = view.leader ? longest_backoff : std::max(longest_backoff, spread_over(view.members));
     backoff = std::min(most, backoff == 0 ? first_backoff : 2 * backoff);
--- a/source/control/list_pace.hpp
+++ b/source/control/list_pace.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// When a node reads the platform's list where each call has its price and all
-// nodes together have a limit. docs/design.md section 8.4.
+// When a node reads the replica list from a platform whose calls are costly and
+// rate-limited for all nodes together. docs/design.md section 8.4.
 #include "base/basics.hpp"
 
 namespace dockrock {
@@ -8,11 +8,11 @@
 struct ListView {
     bool leader = false;  // leased leader of the configuration's partition
     bool resting = false;
-    Microseconds list_at = 0;  // when the list held was asked for
-    std::size_t members = 1;   // nodes held alive
+    Microseconds list_at = 0;  // when the present list was requested
+    std::size_t members = 1;   // nodes considered alive
 };
 
-// A list that was read whole, as the product's own text.
+// A list that was read completely, in the router's own format.
 struct ListReading {
     std::string text;
     std::size_t pages = 0;
@@ -20,14 +20,14 @@
 
 struct ListPace {
     Microseconds interval = 900 * one_millisecond;
-    Microseconds fallback = 2 * one_second;       // a list older than this is read by the node itself
-    Microseconds spread = 300 * one_millisecond;  // over at most this time, where the calls allow
+    Microseconds fallback = 2 * one_second;       // a node whose list is older reads it itself
+    Microseconds spread = 300 * one_millisecond;  // window of such reads, if the rate limit allows
     Microseconds page_limit = 500 * one_millisecond;
     std::int64_t calls_each_second = 50;
-    std::size_t pages = 1;  // of the last reading
+    std::size_t pages = 1;  // of the last read
     Microseconds began_at = -3'600 * one_second;
     Microseconds not_before = -3'600 * one_second;
-    std::optional<Microseconds> turn;  // this node's own, drawn once its list is old
+    std::optional<Microseconds> turn;  // time of this node's read, drawn at random once its list is old
     Microseconds backoff = 0;
 
     auto bound(Microseconds drain, std::int64_t calls) -> void;
@@ -35,7 +35,7 @@
     auto began(Microseconds now) -> void;
     auto good(std::size_t read_pages) -> void;
     auto failed(ListView const& view, Microseconds now, Random& random) -> void;
-    // Between two calls of one node.
+    // Minimum time between two calls of one node.
     auto call_gap() const -> Microseconds { return one_second * 5 / (4 * calls_each_second); }
     auto spread_over(std::size_t members) const -> Microseconds;
 };
--- a/source/control/load.cpp
+++ b/source/control/load.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-// Whole numbers as digits of five bits, letters that JSON leaves as they are.
+// Numbers are encoded in base-32 digits, least significant first, with letters that JSON does not escape.
+// Letters 32 to 63 mean that another digit follows.
 constexpr auto letters = std::string_view("0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_");
-constexpr auto greatest = std::int64_t{1} << 40U;  // sums of these can't run over
+constexpr auto greatest = std::int64_t{1} << 40U;  // sums of such values can't overflow
 
 auto put(std::string& into, std::int64_t number) -> void {
     auto rest = static_cast<std::uint64_t>(std::max<std::int64_t>(0, number));
@@ -20,7 +21,7 @@
     into.push_back(letters[rest]);
 }
 
-// A place in a text that may hold anything; once it is bad it stays so.
+// Reads an untrusted text; after the first error `bad` stays set.
 struct Reader {
     std::string_view text;
     bool bad = false;
@@ -37,7 +38,7 @@
         bad = true;
         return 0;
     }
-    auto take_count() -> std::size_t {  // of what takes at least a letter each
+    auto take_count() -> std::size_t {  // of elements that take at least one letter each
         auto const count = take();
         if (count > static_cast<std::int64_t>(text.size())) bad = true;
         return bad ? 0 : static_cast<std::size_t>(count);
@@ -52,7 +53,7 @@
     auto take_load() -> Load {
         Load load;
         load.count = take_amount();
-        auto const more = take_amount();  // slots beyond the count: 0, -1, 1, -2 ...
+        auto const more = take_amount();  // slots minus count, zigzag encoded: 0, -1, 1, -2 ...
         load.slots = std::max<std::int64_t>(0, load.count + (more % 2 == 0 ? more / 2 : -(more + 1) / 2));
         load.memory = take_amount();
         load.recent = take_amount();
@@ -141,7 +142,7 @@
         load.old_nodes = load.nodes;
         load.old_slots = load.slots;
         load.recent = load.aged = 0;
-        load.unread = load.ended = load.failed = 0;  // a second on, prompts are read and outcomes are others
+        load.unread = load.ended = load.failed = 0;  // outdated after a second: prompts are read, outcomes replaced
     }
     return loads;
 }
@@ -167,7 +168,7 @@
 auto write_loads_difference(Loads const& base, Loads const& fresh) -> std::string {
     std::string gone, changed, added;
     auto counts = std::array<std::int64_t, 3>{};
-    auto after_gone = std::int64_t{0};  // places since the last one named
+    auto after_gone = std::int64_t{0};  // entries of `base` since the last removed one
     auto after_changed = std::int64_t{0};
     auto one = base.begin();
     auto other = fresh.begin();
--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -18,9 +18,9 @@
     return sum;
 }
 
-// What is too old stands for nothing. A node that went silent here and tells
-// another relay is its; and a silent relay's sum goes as soon as most of its
-// nodes tell others: they would count twice.
+// Drops reports that are too old. A node that is silent here and reports to another
+// relay belongs to that one; the sum of a silent relay is dropped once most of its
+// nodes report to other relays. Otherwise they would be counted twice.
 auto LoadRelay::forget(Microseconds now) -> void {
     std::erase_if(children, [&](auto const& item) {
         auto const age = now - item.second.at;
@@ -51,7 +51,7 @@
     std::vector<Loads> parts;
     for (auto const& [node, child] : children)
         parts.push_back(age_loads(child.loads, milliseconds(now - child.at), now - child.at > times.old));
-    for (; parts.size() > 1;) {  // in pairs, so that no long list is walked for each short one
+    for (; parts.size() > 1;) {  // pairwise, to avoid a pass over a long list for each short one
         for (auto place = std::size_t{0}; place + 1 < parts.size(); place += 2)
             parts[place / 2] = add_loads(parts[place], parts[place + 1]);
         if (parts.size() % 2 == 1) parts[parts.size() / 2] = std::move(parts.back());
@@ -84,7 +84,7 @@
     if (deaf(now)) return std::nullopt;
     auto loads = read_loads(told.body);
     auto& child = children[node];
-    // A lower number is a late word, or the first of a new life.
+    // A lower number is a late report, or the first one of a restarted node.
     auto const fresh = child.at == 0 || now - child.at > times.old;
     if (!loads || (told.number <= child.number && !fresh)) return std::nullopt;
     child.number = told.number;
@@ -121,7 +121,7 @@
         share.rates[told.names[place]] = told.rates[place];
 }
 
-// Words that waited while this node was frozen tell of a moment long past.
+// Reports that were queued while this process was frozen are outdated.
 auto LoadRelay::deaf(Microseconds now) const -> bool { return now < deaf_until || now - ticked_at > times.frozen_gap; }
 
 auto LoadRelay::tick(Microseconds now) -> std::optional<LoadShare> {
@@ -161,7 +161,7 @@
 
 auto LoadRelayChoice::choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const* {
     std::erase_if(avoided, [&](auto const& item) { return item.second <= now; });
-    // Told a while ago and again since, and nothing came back.
+    // Several reports were sent over some time without an answer.
     if (!relay.empty() && told_at - std::max(since, heard_at) > times.silence) {
         avoided[relay] = now + times.avoid;
         relay.clear();
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A relay of load: core nodes add up what their nodes tell, tell each other
-// their sums, and answer each node with the sum of all. docs/design.md 9.8.
+// Load relays: core nodes sum the load reported by their nodes, exchange their sums,
+// and answer each node with the total. docs/design.md 9.8.
 #include <deque>
 #include <set>
 
@@ -10,34 +10,34 @@
 namespace dockrock {
 
 struct LoadTimes {
-    Microseconds interval = 100 * one_millisecond;  // between sums, and between words to other relays
-    Microseconds old = one_second;                  // as in SchedulingOptions: a word this old stands for more
-    Microseconds lost = 10 * one_second;            // and one this old for nothing
+    Microseconds interval = 100 * one_millisecond;  // between sums, and between reports to other relays
+    Microseconds old = one_second;                  // as in SchedulingOptions: older reports count for more load
+    Microseconds lost = 10 * one_second;            // and reports older than this are dropped
     Microseconds names_interval = one_second / 2;
-    Microseconds frozen_gap = one_second / 2;      // between a relay's ticks: it was frozen,
-    Microseconds deaf = 200 * one_millisecond;     // and what waited for it is old
-    Microseconds silence = 600 * one_millisecond;  // a relay that answers nothing for so long is left,
-    Microseconds avoid = 5 * one_second;           // and not taken again before
+    Microseconds frozen_gap = one_second / 2;      // a longer time between ticks means the process was frozen;
+    Microseconds deaf = 200 * one_millisecond;     // it then ignores reports, which are outdated
+    Microseconds silence = 600 * one_millisecond;  // a relay that does not answer for so long is replaced,
+    Microseconds avoid = 5 * one_second;           // and not chosen again for so long
 };
 
 struct LoadRelay {
     LoadTimes times;
-    std::uint64_t number = 0;  // of the newest sum; begins anywhere, so that no two lives share one
-    struct Child {
+    std::uint64_t number = 0;  // of the newest sum; starts at random, so that no two processes share numbers
+    struct Child {             // a node that reports to this relay
         std::uint64_t number = 0;
-        std::uint64_t summed = 0;  // the number that the newest sum has of it, and when it came
+        std::uint64_t summed = 0;  // number and arrival of its report in the newest sum
         Microseconds summed_at = 0;
         Microseconds at = 0;
         Loads loads;
         auto rate() const -> std::int64_t;
     };
     std::map<std::string, Child> children;  // by identity
-    struct Share {
+    struct Share {                          // the sum of another relay
         std::uint64_t number = 0;
         Microseconds at = 0;
         std::int64_t nodes = 0;
         Loads loads;
-        std::map<std::string, std::int64_t> rates;  // of its nodes, told now and then
+        std::map<std::string, std::int64_t> rates;  // of its nodes, sent less often
     };
     std::map<std::string, Share> shares;  // by the relay's identity
     struct Sum {
@@ -47,8 +47,9 @@
     };
     std::deque<Sum> sums;  // newest last
     Microseconds summed_at = 0;
-    std::map<std::uint64_t, std::string> differences;  // from older sums to the newest
-    std::string whole;                                 // the newest one
+    std::map<std::uint64_t, std::string>
+        differences;    // by number of an older sum: its encoded difference to the newest
+    std::string whole;  // the newest sum, encoded
     Microseconds shared_at = 0;
     Microseconds named_at = 0;
     Microseconds ticked_at = 0;
@@ -56,9 +57,9 @@
 
     auto take(std::string const& node, LoadTold const& told, Microseconds now) -> std::optional<LoadSum>;
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
-    // What other relays are to be told now; nothing where nobody tells anything here.
+    // The sum to send to other relays now; nothing while no node reports here.
     auto tick(Microseconds now) -> std::optional<LoadShare>;
-    auto rate_of(std::string const& node, Microseconds now) const -> double;  // placed in the last second
+    auto rate_of(std::string const& node, Microseconds now) const -> double;  // requests placed in the last second
 
    private:
     auto deaf(Microseconds now) const -> bool;
@@ -67,8 +68,8 @@
     auto sum_up(Microseconds now) -> void;
 };
 
-// Which relay a node tells: the first in an order of its own, those of its area
-// before others, except ones that were silent.
+// Which relay a node reports to, by rendezvous hashing: relays of its own area
+// first, those that were silent last.
 struct LoadRelayChoice {
     LoadTimes times;
     std::string relay;  // identity
@@ -76,7 +77,7 @@
     Microseconds told_at = 0;
     Microseconds heard_at = 0;
     std::map<std::string, Microseconds> avoided;  // until
-    bool relayed = false;                         // load goes through relays now
+    bool relayed = false;                         // load reports go through relays now
 
     auto choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const*;
     auto heard(std::string const& from, Microseconds now) -> void;
--- a/source/control/named_versions.hpp
+++ b/source/control/named_versions.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// When the versions of one model were named, as this node came to know of them:
-// from each of them runs the time in which older weights may still serve.
+// When each version of one model became the target, as far as this node knows: from that
+// moment runs the period in which older weights may still serve.
 // docs/design.md section 11.4.
 #include <map>
 #include <algorithm>
@@ -10,22 +10,22 @@
 
 namespace dockrock {
 
-// Weights are withheld this long before that time is over: until a node has heard
-// of it, and what lies unstarted at the replica has begun or was turned away.
+// Replicas with older weights get no new requests this long before the period ends: the time until
+// a node learns of it, and until queued requests at the replica have begun or are rejected.
 inline constexpr Microseconds weights_margin = 2'500 * one_millisecond;
 
 struct NamedVersions {
     static constexpr std::size_t most = 64;
     std::map<std::int64_t, Microseconds> at;
 
-    // True where it was not known before. Versions only rise.
+    // True if it was not known. Versions only increase.
     auto take(std::int64_t version, Microseconds now) -> bool {
         if (version <= first_version || (!at.empty() && version <= at.rbegin()->first)) return false;
         at[version] = now;
         drop_oldest();
         return true;
     }
-    // Another account of the same versions: of each the earlier moment counts. True where it changed anything.
+    // Merges another node's times: the earlier moment of each version counts. True if anything changed.
     auto merge(NamedVersions const& other) -> bool {
         auto changed = false;
         for (auto const& [version, moment] : other.at) {
@@ -38,7 +38,7 @@
     }
     auto newest() const -> std::int64_t { return at.empty() ? first_version : at.rbegin()->first; }
     auto up_to(std::int64_t version) const -> NamedVersions { return {{at.begin(), at.upper_bound(version)}}; }
-    // When a version above `held` was named first: newer ones give no more time.
+    // When the first version above `held` became the target: newer targets don't extend the period.
     auto named_after(std::int64_t held) const -> std::optional<Microseconds> {
         auto first = std::optional<Microseconds>();
         for (auto next = at.upper_bound(held); next != at.end(); ++next)
@@ -47,7 +47,7 @@
     }
 
    private:
-    // The oldest gives way, and its moment stays: nobody is given more time by it.
+    // Removes the oldest and passes its moment on to the next one, so that no replica gets more time by it.
     auto drop_oldest() -> void {
         while (at.size() > most) {
             auto const oldest = at.begin()->second;
--- a/source/control/orders.hpp
+++ b/source/control/orders.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which replicas the leased leader of a service's partition orders to load weights
-// now. docs/design.md section 11.
+// The replicas that the leased leader of a service's partition now orders to load
+// weights. docs/design.md section 11.
 #include "control/rollout.hpp"
 #include "control/snapshot.hpp"
 
@@ -10,7 +10,7 @@
     std::string replica;
     std::string address;
     std::string weights;
-    std::string incarnation;  // the receiver's life: an order for a former one is refused
+    std::string incarnation;  // of the receiver: an order for a former incarnation is refused
     std::uint64_t fence = 0;
     int partition = 0;
 };
@@ -22,7 +22,7 @@
         Microseconds now) -> std::vector<Order>;
 };
 
-// What the check of an order looks at, but for what is known only once it leaves. Its `lease_age` is the moment.
+// The facts for the invariant check of an order, except those known only when it is sent: `lease_age` holds `now`.
 auto order_facts(Control const& control, int partition, std::uint64_t fence, Microseconds now)
     -> invariants::OrderFacts;
 
--- a/source/control/overdue_check.hpp
+++ b/source/control/overdue_check.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which versions were named and since when this node knows, for the check of what it writes; the
-// roll-out keeps its own account. docs/consensus.md section 5.
+// The target versions and when this node learned of them, for the invariant check before a request is sent
+// to a replica; independent of the roll-out's own data. docs/consensus.md section 5.
 #include <algorithm>
 
 #include "base/invariant_checks.hpp"
@@ -12,15 +12,15 @@
         std::int64_t version = 0;
         Microseconds since = 0;
     };
-    std::map<std::string, std::vector<Named>> by_model;  // rising
+    std::map<std::string, std::vector<Named>> by_model;  // ascending
 
-    // Of versions past their bound the newest says it all.
+    // Of the versions past their bound only the newest is needed.
     auto learn(std::string const& model, std::int64_t version, Microseconds now, Microseconds bound) -> void {
         auto& named = by_model[model];
         if (named.empty() || named.back().version < version) named.push_back({version, now});
         while (named.size() > 1 && now - named[1].since > bound) named.erase(named.begin());
     }
-    // False where a replica with this version is to get nothing more.
+    // False if a replica with this version must get no more requests.
     auto check(std::string const& model, std::int64_t held, Microseconds now, Microseconds bound) const -> bool {
         auto const found = by_model.find(model);
         if (found == by_model.end()) return true;
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr auto past_kept = std::size_t{8};
 constexpr auto asks_kept = std::size_t{8};
-constexpr auto least_saved = std::size_t{64};  // a difference that saves less is not worth it
+constexpr auto least_saved = std::size_t{64};  // bytes a difference must save to be sent instead of the whole document
 constexpr auto past_bytes = std::size_t{4} << 20U;
 }  // namespace
 
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -1,19 +1,20 @@
 #pragma once
-// A partition as news: what a node holds of it, and differences between its
-// documents. docs/design.md section 8.
+// A node's view of a partition: its document, how fresh it is, and differences between
+// its versions. docs/design.md section 8.
 #include <deque>
 
 #include "base/messages.hpp"
 
 namespace dockrock {
 
+// Timeouts and intervals of updates, operator calls and claims.
 struct NewsTimes {
     Microseconds hold_limit = 300 * one_millisecond;
     Microseconds ask_limit = 500 * one_millisecond;
-    // The other parts decide nothing by their age: a change is told at once either way.
+    // Nothing is decided by the age of service partitions, and changes are sent at once, so these can be longer.
     Microseconds service_hold_limit = 700 * one_millisecond;
     Microseconds service_ask_limit = 900 * one_millisecond;
-    Microseconds direct = 2 * one_second;  // how long a relay is passed by that was silent or behind
+    Microseconds direct = 2 * one_second;  // how long a relay that was silent or behind is bypassed
     Microseconds resting_interval = one_second;
     Microseconds proof_limit = 1'500 * one_millisecond;  // older: no new entry is granted (granting.hpp)
     Microseconds shed_limit = 4 * one_second;            // older: tickets are shed at once
@@ -21,37 +22,37 @@
     Microseconds list_fallback = 1'200 * one_millisecond;
     Microseconds call_limit = 4 * one_second;
     Microseconds call_unsent_limit = 2'500 * one_millisecond;
-    Microseconds call_refused_limit = 800 * one_millisecond;  // of a node out of contact
+    Microseconds call_refused_limit = 800 * one_millisecond;  // if no leader can be reached
     Microseconds call_resend = 700 * one_millisecond;
-    Microseconds call_each_mebibyte = 500 * one_millisecond;  // of a body, on top of each of the three
+    Microseconds call_each_mebibyte = 500 * one_millisecond;  // added to each of the above per MiB of body
     Microseconds claim_limit = 4 * one_second;
     Microseconds claim_resend = 150 * one_millisecond;
 };
 
-// For operators that turn to another node after a second of silence.
+// Shortens call timeouts for operator clients that try another node after a second without an answer.
 inline auto limit_calls(NewsTimes& times) -> void {
     times.call_limit = times.call_unsent_limit = 850 * one_millisecond;
     times.call_resend = 250 * one_millisecond;
 }
 
-// What became of a question: nothing in time, or an answer after another question had been asked.
+// A log entry for an update request that was not answered in time, or was answered after the next one was sent.
 struct NewsNote {
     int partition = 0;
     std::string whom;
-    Microseconds age = 0;  // since it was asked
+    Microseconds age = 0;  // time since the request
     bool late = false;
 };
 
-// The same, counted since the start.
+// Counters of update requests since the start.
 struct NewsCounts {
     std::uint64_t asked = 0;
     std::uint64_t unanswered = 0;
     std::uint64_t late = 0;
-    std::uint64_t unknown = 0;  // answers to no question that is remembered
+    std::uint64_t unknown = 0;  // answers that match no recent request
     Microseconds latest = 0;    // the greatest age of a late answer
 };
 
-// A question that is no longer waited for: asked anew, or answered.
+// A request that is no longer outstanding: superseded or answered.
 struct PastAsk {
     std::uint64_t token = 0;
     std::string whom;
@@ -59,38 +60,39 @@
     bool answered = false;
 };
 
-// What a node holds of a partition as news (design 8).
+// What a node knows of a partition (design 8).
 struct PartitionNews {
     Record record;
-    Copy copy;                                          // elsewhere than at the leader without outcomes
-    std::deque<std::pair<Sequence, std::string>> past;  // documents held before, for differences
-    std::optional<std::pair<Sequence, NewsCopy>> told;  // the last difference, and what it builds on
-    bool whole_wanted = false;                          // a difference did not fit
+    Copy copy;                                          // without outcomes, except at the leader
+    std::deque<std::pair<Sequence, std::string>> past;  // earlier documents, as bases for differences
+    std::optional<std::pair<Sequence, NewsCopy>> told;  // the last difference sent, with its base
+    bool whole_wanted = false;                          // a difference could not be applied
     Microseconds proven_at = -3'600 * one_second;
-    std::string live;  // the replica list, or the word of the partition's leader; told apart by its digest
+    std::string live;  // the replica list, or the weights states published by the partition's leader
     std::uint64_t live_digest = 0;
     Microseconds live_at = -3'600 * one_second;
     std::uint64_t ask_token = 0;
-    bool asked_relay = false;       // by the question under way
-    Microseconds direct_until = 0;  // the owner is asked, not the relay
+    bool asked_relay = false;       // the outstanding request went to a relay
+    Microseconds direct_until = 0;  // until then the leader is asked, not the relay
     Microseconds asked_at = 0;
     std::string asked_whom;
-    std::deque<PastAsk> past_asks;  // the last few questions that are no longer waited for
-    std::uint64_t told_term = 0;    // as leader: the term that all members were told of
+    std::deque<PastAsk> past_asks;  // the last few requests that are no longer outstanding
+    std::uint64_t told_term = 0;    // as leader: the term that was announced to all members
     int unanswered = 0;
 };
 
 auto digest_of(std::string_view text) -> std::uint64_t;
-// The question under way is no longer waited for; it stays remembered for a while.
+// Moves the outstanding request to the past ones, so that a late answer is still recognized.
 auto pass_by(PartitionNews& item, bool answered) -> void;
-// Of all that are remembered; null: no such question.
+// Finds a past request by its token; null if there is none.
 auto past_ask(PartitionNews& item, std::uint64_t token) -> PastAsk*;
-// Whole, or as the difference from what the asker holds, whichever is smaller.
+// The update for a request: the whole document, or the difference from the requester's version if that is smaller.
 auto copy_for(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy;
-// The same; the difference that many ask for is made once.
+// Like copy_for, but a difference that many nodes request is computed once.
 auto copy_told(PartitionNews& item, NewsAsk const& ask) -> NewsCopy;
-// The document it makes; nothing where it does not fit what is held.
+// The resulting document; nothing if the difference or its digest does not match the document held.
 auto apply_news(PartitionNews const& item, NewsCopy const& news) -> std::optional<std::string>;
+// Keeps the present document as a base for differences, before it is replaced.
 auto remember(PartitionNews& item) -> void;
 
 }  // namespace dockrock
--- a/source/control/partition_watch.hpp
+++ b/source/control/partition_watch.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What a node remembers of a partition in its life, for the checks of its terms and of what is in
-// force; no decision rests on it but to hold back. docs/consensus.md section 5.
+// Tracks a partition since the process started, to check invariants of its terms and of its document.
+// A failed check only keeps the node from publishing. docs/consensus.md section 5.
 #include "base/invariant_checks.hpp"
 #include "consensus/partition.hpp"
 #include "control/partition_news.hpp"
@@ -10,12 +10,12 @@
 struct PartitionWatch {
     std::uint64_t highest_term = 0;
     Sequence in_force;
-    std::uint64_t digest = 0;                            // of the document of that sequence
-    char const* document = nullptr;                      // where it lay: the same place holds the same text
-    std::uint64_t compared_term = 0;                     // under which the leader's copy was compared with it
-    Microseconds other_holder_at = -3'600 * one_second;  // another than this node was last known to lead
+    std::uint64_t digest = 0;                            // of the document with that sequence
+    char const* document = nullptr;                      // its address: the same address means the same text
+    std::uint64_t compared_term = 0;                     // the term in which the leader's copy was compared with it
+    Microseconds other_holder_at = -3'600 * one_second;  // when another node was last known as leader
 
-    // After anything happened; false where nothing may be told of the partition by this node.
+    // To be called after each event; false if this node must not publish the partition.
     auto look(Partition const& partition, PartitionNews const& news, std::string const& self, Microseconds now) -> bool;
 
    private:
--- a/source/control/pending.hpp
+++ b/source/control/pending.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a node asked of others and waits for, by the token under which its answer comes.
+// Requests of a node to others that are not answered yet, by the token that the answer carries.
 #include <optional>
 #include <set>
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace dockrock {
 
-// An operator's call, passed on until its answer comes or its time is over.
+// An operator call that is forwarded until it is answered or times out.
 struct PendingCall {
     Call call;
     Microseconds since = 0;
     Microseconds sent_at = 0;
-    int outstanding = 0;  // sends whose fate is not known
+    int outstanding = 0;  // sends without a known result
     std::uint64_t local_token = 0;
-    std::string asker;  // the node that it is passed on for; its token is `local_token`
+    std::string asker;  // address of the node that forwarded the call here, with its token in `local_token`
     int hops = 0;
     int sends = 0;
 };
 
-// A claim of a run-once request, until the leader of its partition has answered.
+// A claim for a run-once request, until the leader of its partition answers.
 struct PendingClaim {
     ClaimAsk ask;
     Microseconds since = 0;
@@ -29,16 +29,16 @@
     std::uint64_t local_token = 0;
 };
 
-// Forming anew from what the core nodes that are left hold (design 5.9).
+// A recovery from the copies that the remaining nodes hold (design 5.9).
 struct PendingAnew {
     std::uint64_t token = 0;
     std::uint64_t local_token = 0;
     Microseconds since = 0;
     std::set<std::string> silent;  // addresses that have not answered yet
     std::vector<HeldPartition> best;
-    std::uint64_t term = 0;  // once it is sent
+    std::uint64_t term = 0;  // of the order, once it is sent
     FormAnew order;
-    std::string at;  // the address that it went to
+    std::string at;  // address that the order was sent to
     Microseconds sent_at = 0;
 };
 
--- a/source/control/replica_weights.hpp
+++ b/source/control/replica_weights.hpp
@@ -1,20 +1,20 @@
 #pragma once
-// What is known of the weights a replica holds. docs/design.md section 11.
+// The known state of the weights of a replica. docs/design.md section 11.
 #include "base/json_structs.hpp"
 
 namespace dockrock {
 
 struct ReplicaWeights {
     std::map<std::string, std::int64_t> versions;  // by model
-    bool loading = false;                          // an order is under way, or may be: nothing new goes there
+    bool loading = false;                          // an order is or may be in progress: no new requests go there
     auto operator==(ReplicaWeights const&) const -> bool = default;
 };
 using WeightsWords = std::map<std::string, ReplicaWeights>;  // by replica
 
-inline constexpr auto first_version = std::int64_t{1};  // of weights that nobody has named yet
+inline constexpr auto first_version = std::int64_t{1};  // of a model that never got a target version
 
-// What the list shows, overridden by the leader's word; a listed version that
-// is higher than the word's shows that the word is over.
+// Overrides the listed state with the state published by the leader, unless a listed
+// version is higher, which shows that the published state is outdated.
 inline auto apply_word(ReplicaWeights& listed, ReplicaWeights const& word) -> void {
     for (auto const& [model, version] : word.versions)
         if (auto const found = listed.versions.find(model); found != listed.versions.end() && found->second > version)
--- a/source/control/resting.cpp
+++ b/source/control/resting.cpp
@@ -15,10 +15,10 @@
     }
     auto const needed = static_cast<std::size_t>(std::ceil(total * options.headroom / options.node_rate));
     auto const slack = static_cast<std::size_t>(options.loss_slack);
-    return std::min(edges.size(), std::max(needed, areas.size()) + slack);  // one in every area, and one to lose
+    return std::min(edges.size(), std::max(needed, areas.size()) + slack);  // at least one per area, plus the spares
 }
 
-// A resting node that was given traffic is awake already.
+// A resting node that gets traffic counts as awake, except for traffic within the grace period.
 auto Resting::still_rests(RestingNode const& node, std::set<std::string> const& now_resting, Microseconds now) const
     -> bool {
     auto const rested = rested_at.find(node.identity);
@@ -50,7 +50,7 @@
     return plan.resting;
 }
 
-// Nodes are woken at once, those of the emptiest area first.
+// Wakes nodes without delay, first in the area with the fewest awake nodes.
 auto Resting::wake_needed(std::vector<RestingNode> const& edges, std::size_t least, Plan& plan) -> void {
     auto const area_asleep = [&] {
         return std::any_of(
@@ -71,7 +71,7 @@
     }
 }
 
-// The idlest node of the fullest area, if that area keeps another one awake.
+// Rests the node with the least traffic in the area with the most awake nodes, if another one stays awake there.
 auto Resting::rest_one(std::vector<RestingNode> const& edges, Plan& plan, Microseconds now) -> void {
     auto const order = [&](RestingNode const& node) { return std::pair(-plan.awake_in_area[node.area], node.rate); };
     RestingNode const* chosen = nullptr;
--- a/source/control/resting.hpp
+++ b/source/control/resting.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which of the fleet's own edge nodes may rest. docs/design.md section 12.
+// Selects edge nodes that may rest (with few wakeups) while load is low. docs/design.md section 12.
 #include <map>
 #include <optional>
 #include <set>
@@ -9,17 +9,17 @@
 namespace dockrock {
 
 struct RestingOptions {
-    double node_rate = 40.0;              // tickets each second that one node takes with ease
-    double headroom = 2.0;                // awake nodes could take this many times the traffic
-    int loss_slack = 1;                   // and one of them may be lost
-    Microseconds calm = 4 * one_second;   // how long the burden must be low before one more rests
-    Microseconds step = one_second;       // at most one more node rests in this time
-    Microseconds grace = 3 * one_second;  // traffic from before it rested is not held against a node
+    double node_rate = 40.0;              // requests per second that one node handles easily
+    double headroom = 2.0;                // awake nodes can take this multiple of the traffic
+    int loss_slack = 1;                   // number of further awake nodes, which may be lost
+    Microseconds calm = 4 * one_second;   // how long load must be low before another node rests
+    Microseconds step = one_second;       // at most one more node is put to rest in this time
+    Microseconds grace = 3 * one_second;  // for so long after a node is put to rest, its traffic may be from before
 };
 struct RestingNode {
     std::string identity;
     std::string area;
-    double rate = 0.0;  // tickets each second, from its digests
+    double rate = 0.0;  // requests per second, from its load digests
 };
 
 struct Resting {
@@ -28,13 +28,13 @@
     Microseconds last_step = 0;
     std::map<std::string, Microseconds> rested_at;
 
-    // The set that should rest, where it differs from `now_resting`.
+    // The new set of resting nodes; nothing if it equals `now_resting`.
     auto step(std::vector<RestingNode> const& edges, std::set<std::string> const& now_resting, Microseconds now)
         -> std::optional<std::set<std::string>>;
     auto least_awake(std::vector<RestingNode> const& edges) const -> std::size_t;
 
    private:
-    // Who is to rest, and what stays awake then.
+    // The nodes to rest, and the number of nodes that stay awake.
     struct Plan {
         std::set<std::string> resting;
         std::map<std::string, int> awake_in_area;
--- a/source/control/rollout.cpp
+++ b/source/control/rollout.cpp
@@ -26,7 +26,7 @@
             continue;
         }
         ++in_progress;
-        if (!replica.changing && now - known->second > reorder_interval) {  // an order may be lost
+        if (!replica.changing && now - known->second > reorder_interval) {  // the order may have been lost
             known->second = now;
             orders.push_back(replica.name);
         }
--- a/source/control/rollout.hpp
+++ b/source/control/rollout.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Naming new weights to replicas in waves. docs/design.md section 11.
+// Roll-out of new weights to the replicas of one model in waves. docs/design.md section 11.
 #include "base/messages.hpp"
 
 namespace dockrock {
@@ -13,10 +13,10 @@
 struct Rollout {
     std::string target;
     Microseconds wave_at = 0;
-    std::map<std::string, Microseconds> ordered;  // name -> when last ordered
+    std::map<std::string, Microseconds> ordered;  // by replica name: time of the last order
 
-    // Names of the replicas to order now. At most a third at once; the next
-    // wave begins when this one is done, or after four seconds.
+    // Names of the replicas to order now. A wave is at most a third of the replicas; the
+    // next wave begins when all of them are done, or after four seconds.
     auto step(std::string const& wanted, std::vector<RolloutReplica> const& replicas, Microseconds now)
         -> std::vector<std::string>;
 };
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -15,10 +15,10 @@
     ReplicaList list;
     Problems problems;
     read_json(*parsed, list, "", problems);
-    if (problems.empty()) into = std::move(list);  // what can't be read is kept as it was
+    if (problems.empty()) into = std::move(list);  // an invalid list leaves the old one in place
 }
 
-// Under a relaying form the document is one of services.
+// Under a relaying protocol the document is a list of services.
 auto compile_relayed(Copy const& copy, DocumentForm const& form) -> std::shared_ptr<Rules const> {
     auto rules = std::make_shared<Rules>();
     rules->sequence = copy.sequence;
@@ -29,8 +29,8 @@
     return rules;
 }
 
-// A version that this node's document does not name can't be ordered, so it makes no replica late:
-// one that others tell of may have been lost with its disks.
+// Only versions up to the target in this node's document: a higher one can't be ordered, so it makes no
+// replica overdue. One that other nodes report may have been lost with the disks that held it.
 auto named_here(VersionNamings const& namings, std::map<std::string, std::int64_t> const& targets)
     -> std::map<std::string, NamedVersions> {
     std::map<std::string, NamedVersions> named;
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What tickets are read against: made from a node's news, immutable, swapped
-// whole. docs/design.md section 14.
+// The state that inference requests are interpreted with: built from a node's views of
+// the partitions, immutable, replaced as a whole. docs/design.md section 14.
 #include "control/control.hpp"
 #include "control/replica_weights.hpp"
 #include "control/overdue_check.hpp"
@@ -11,14 +11,14 @@
 
 struct Snapshot {
     std::shared_ptr<Rules const> rules;
-    std::size_t document_bytes = 0;  // of the configuration as it was given
+    std::size_t document_bytes = 0;  // size of the configuration document
     ReplicaList list;
     std::map<std::string, std::string> target_weights;
-    std::map<std::string, std::int64_t> target_versions;  // by model, where a version was named
-    std::map<std::string, NamedVersions> named;           // of these, since when this node or others knew
-    WeightsWords replica_weights;                         // of the replicas listed
+    std::map<std::string, std::int64_t> target_versions;  // by model, for models with a target version
+    std::map<std::string, NamedVersions> named;           // of these, since when this node or others know them
+    WeightsWords replica_weights;                         // of the listed replicas
     std::set<std::string> resting;
-    OverdueCheck overdue_check;  // for the check of what is written
+    OverdueCheck overdue_check;  // checked before a request is sent to a replica
 
     auto target_version(std::string const& model) const -> std::int64_t {
         auto const found = target_versions.find(model);
@@ -27,11 +27,12 @@
 };
 using SnapshotPointer = std::shared_ptr<Snapshot const>;
 
-// What did not change since `old` is taken over from it unread.
+// Unchanged rules are taken over from `old` without parsing. With `form` the document is in a relaying platform's
+// format.
 auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form = nullptr)
     -> std::shared_ptr<Snapshot>;
 
-// An leader's words of its replicas; none where the text can't be read.
+// Parses the weights states that a leader published for its replicas; empty if the text is invalid.
 auto read_words(std::string const& text) -> WeightsWords;
 
 }  // namespace dockrock
--- a/source/control/tenure.hpp
+++ b/source/control/tenure.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How long the holder of a partition has to wait before it may order, since the
-// former one may have ordered until it took over. docs/design.md section 11.
+// How long a new leader of a partition must wait before it may send weights orders, since
+// the former leader may have sent some until the takeover. docs/design.md section 11.
 #include "base/basics.hpp"
 
 namespace dockrock {
@@ -8,15 +8,15 @@
 struct Tenure {
     bool held = false;
     std::uint64_t term = 0;
-    Microseconds since = 0;  // first leased, in this life, with no other holder in between
+    Microseconds since = 0;  // when this process first got the lease, with no other holder since
 
-    // With what this node knows now; true once it may order.
+    // Takes the present state of the lease; true once orders may be sent.
     auto step(std::uint64_t record_term, bool leader, bool leased, Microseconds wait, Microseconds now) -> bool {
         if (!leader) {
             held = false;
             return false;
         }
-        // Of an term that was skipped, the holder is not known.
+        // The holder of a skipped term is unknown and may have been another node.
         if (held && record_term > term + 1) held = false;
         if (!held && !leased) return false;
         if (!held) since = now;
--- a/source/control/version_namings.cpp
+++ b/source/control/version_namings.cpp
@@ -21,7 +21,7 @@
         auto& known = by_model[model];
         auto const newest = known.newest();
         changed = known.merge(other) || changed;
-        if (known.newest() > newest) learned_at = now;  // the teller may have heard of it just now, too
+        if (known.newest() > newest) learned_at = now;  // the sender may have learned of it just now as well
     }
     return changed;
 }
--- a/source/control/version_namings.hpp
+++ b/source/control/version_namings.hpp
@@ -1,26 +1,26 @@
 #pragma once
-// Since when this node knows of each version named, by its own clock, and what
-// other nodes tell of it: a node that restarted, or was cut off while a version
-// was named, comes to count from the naming again. docs/design.md section 11.4.
+// When each version became the target, by this node's clock: its own observations, corrected
+// by what other nodes report. So a node that restarted, or was partitioned at that time,
+// counts from the original moment again. docs/design.md section 11.4.
 #include "base/messages.hpp"
 #include "control/named_versions.hpp"
 
 namespace dockrock {
 
 struct VersionNamings {
-    static constexpr Microseconds ask_for = 5 * one_second;  // since the last version that was new to this node
+    static constexpr Microseconds ask_for = 5 * one_second;  // after learning of a new version
     static constexpr Microseconds ask_interval = one_second;
-    static constexpr Microseconds longest_age = 3'600 * one_second;  // any older one says the same
+    static constexpr Microseconds longest_age = 3'600 * one_second;  // higher ages are capped
     std::map<std::string, NamedVersions> by_model;
     Microseconds learned_at = -longest_age;
     Microseconds asked_at = -longest_age;
 
-    // The document of a service partition, which names a version by model.
+    // Takes the document of a service partition, which has the target version of each model.
     auto learn(std::string const& document, Microseconds now) -> void;
-    // What another node tells, as it comes. True where it knew of a version earlier, or of another one.
+    // Takes another node's report. True if it has a version earlier, or has one that was unknown here.
     auto take(NamedAges const& told, Microseconds now) -> bool;
     auto ages(Microseconds now) const -> NamedAges;
-    // Whether others may know better and are to be asked now.
+    // Whether to request the ages of other nodes now.
     auto ask_due(Microseconds now) -> bool;
 };
 
--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -1,4 +1,4 @@
-// Which replicas of a roll-out are due, and what its log and metrics tell.
+// Which replicas of a roll-out are due or overdue, and its log entries and metrics.
 // docs/design.md section 11.4.
 #include <algorithm>
 
@@ -15,13 +15,13 @@
     return times.bound > 0 && since && now - *since >= times.bound - times.margin;
 }
 
-// As many as it takes so that, when nothing new may go to older weights, no more
-// is left than one round of `least`, which is ordered then; by the time that a
-// place is held. Never above half of the replicas.
+// The number of replicas that may load at the same time: enough that, when older weights get no new
+// requests any more, only one round of `least` replicas is left, which is ordered then. Computed from
+// the measured time that a load takes; never above half of the replicas.
 auto VersionsRollout::places(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t {
     if (times.bound == 0 || held == 0) return least;
     auto replicas = std::size_t{0};
-    std::multimap<Microseconds, double> behind;  // time left, and the part of a load that is
+    std::multimap<Microseconds, double> behind;  // time left, and the part of a load that is still to be done
     for (auto const& [name, course] : courses) {
         if (course.service != service || course.drain) continue;
         ++replicas;
@@ -39,7 +39,7 @@
     return std::clamp(static_cast<std::size_t>(std::min(needed + 0.5, static_cast<double>(most))), least, most);
 }
 
-// Without a bound nothing would end the wait for one that is silent for good.
+// Without a bound, a silent replica does not count as away: nothing would end the wait if it never returns.
 auto VersionsRollout::is_last(std::string_view service, std::size_t least, Microseconds now) const -> bool {
     auto serving = std::size_t{0};
     auto away = std::size_t{0};
@@ -53,8 +53,8 @@
     return replicas <= least && serving <= 1 && away > 0;
 }
 
-// Whether the order of an overdue replica that answers no report was taken can't be known. It is
-// ordered anew, without a count: one that holds the version, or is loading it, does not load again.
+// If an overdue replica answers no report, it is unknown whether its order was taken. It is sent again
+// without an expected count; a replica that holds or is loading the version does not load it twice.
 auto VersionsRollout::renew_silent(Microseconds now) -> void {
     for (auto& [name, course] : courses) {
         if (course.stage != Stage::unsure || !late(course, now) || now - course.heard_at < times.renew) continue;
@@ -64,7 +64,7 @@
     }
 }
 
-// Once for each time that a replica falls silent or overdue.
+// Logs each time that a replica becomes silent or overdue.
 auto VersionsRollout::note(Microseconds now) -> void {
     for (auto& [name, course] : courses) {
         auto const silent = course.stage != Stage::idle && !holds_place(course, now);
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -32,7 +32,7 @@
         course.version = std::max(course.version, replica.version);
         if (polled(course) && course.listed >= course.wanted) {
             loaded(replica.name, course, now);
-            course.orders.reset();  // counted before this load
+            course.orders.reset();  // the known count is from before this load
         }
         if (course.stage != Stage::idle || !course.told || course.listed < course.version) {
             course.shown_at = 0;
@@ -80,9 +80,9 @@
     return actions;
 }
 
-// Freed places are filled at once: first those that are due first, then from the
-// areas with the fewest under way. One that is overdue needs no place, since it
-// gets nothing new anyway; one that is leaving is worth a load only then.
+// Fills free places immediately: first with replicas that are due first, then with those
+// of areas with the fewest loads in progress. An overdue replica needs no place, since it
+// gets no requests anyway; a draining one is only loaded when it is overdue.
 auto VersionsRollout::announce(std::size_t at_once, Microseconds now) -> void {
     std::map<std::string_view, std::size_t> busy;
     std::map<std::string_view, std::size_t> allowed;
@@ -136,7 +136,7 @@
         case OrderEnd::taken:
             course.stage = Stage::loading;
             course.next = course.ordered_at + (quickest == 0 ? times.first_poll : quickest * 9 / 10);
-            course.heard_at = course.next;  // until it is asked it can't be silent
+            course.heard_at = course.next;  // not silent before its first poll
             break;
         case OrderEnd::holds:
             course.stage = Stage::idle;
@@ -188,9 +188,9 @@
         course.doubted = false;
         course.next = now + times.poll;
     } else if (asked_at - course.ordered_at < (course.doubted ? times.settle : times.believe)) {
-        course.next = now + times.poll;  // it may tell of the moment before the order
+        course.next = now + times.poll;  // the report may be from before the order
     } else {
-        give_up(course, now);  // not taken, or ended undone: ordered anew, on the count just told
+        give_up(course, now);  // not taken, or failed: ordered again with the count just reported
     }
 }
 
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -1,23 +1,23 @@
 #pragma once
-// Bringing the replicas of one model to the version named, a few at a time:
-// the decisions, apart from who may order. docs/design.md section 11.
+// Roll-out of the target version to the replicas of one model, a few at a time: the decisions,
+// except which node may send orders. docs/design.md section 11.
 #include <array>
 
 #include "control/named_versions.hpp"
 
 namespace dockrock {
 
-// How an order ended, as far as its sender knows.
+// The result of an order as far as its sender knows.
 enum class OrderEnd : int {
-    taken,        // it is being carried out
-    holds,        // the version is there already
-    conflict,     // another is under way, or the count of orders differs
-    fenced,       // a later holder was seen
-    elsewhere,    // another life has the address
-    refused,      // not done, and no such order known
-    unknown,      // no clear answer: it may have been taken
-    unreachable,  // nothing was sent
-    not_sent,     // held back by its sender: the lease was not sure
+    taken,        // accepted, in progress
+    holds,        // the replica already has the version
+    conflict,     // another order is in progress, or the count of orders differs
+    fenced,       // the replica has seen a later leader
+    elsewhere,    // the address belongs to another incarnation now
+    refused,      // rejected by the replica
+    unknown,      // no clear answer: it may have been accepted
+    unreachable,  // the order could not be sent
+    not_sent,     // held back by its sender, whose lease was uncertain
 };
 inline constexpr auto order_end_names = std::to_array<std::string_view>(
     {"taken", "holds", "conflict", "fenced", "elsewhere", "refused", "unknown", "unreachable", "not-sent"});
@@ -37,13 +37,13 @@
 struct VersionOrder {
     std::string replica;
     std::int64_t version = 0;
-    std::optional<std::uint64_t> orders;  // expected count, where a report told it
+    std::optional<std::uint64_t> orders;  // expected number of orders so far, if a report gave it
 };
-// What a log tells of a roll-out: which version, and how long ago or for how long.
+// A log entry of a roll-out, with the version and a duration that depends on the kind.
 struct RolloutNote {
     enum class Kind : int { named, announced, loaded, silent, overdue };
     Kind kind = Kind::named;
-    std::string replica;  // none where a version was named
+    std::string replica;  // empty if kind is `named`
     std::int64_t version = 0;
     Microseconds length = 0;
 };
@@ -51,27 +51,27 @@
     {"weights-named", "weights-announced", "weights-loaded", "weights-silent", "weights-overdue"});
 struct RolloutActions {
     std::vector<VersionOrder> orders;
-    std::vector<std::string> reports;  // replicas to ask now
+    std::vector<std::string> reports;  // replicas to poll now
     std::vector<RolloutNote> notes;
 };
 struct RolloutFigures {
-    std::size_t behind = 0;   // replicas that hold older weights, leaving ones apart
-    std::size_t overdue = 0;  // of all, those that get nothing new for it
-    Microseconds oldest = 0;  // since the oldest version was named that isn't everywhere
+    std::size_t behind = 0;   // replicas with older weights, without draining ones
+    std::size_t overdue = 0;  // of all replicas, those that get no requests because of older weights
+    Microseconds oldest = 0;  // time since the oldest target that is not loaded everywhere was set
 };
 struct RolloutTimes {
-    Microseconds announce = 50 * one_millisecond;     // nodes hear of it before the replica does
+    Microseconds announce = 50 * one_millisecond;     // from publishing a load to its order, so that nodes know first
     Microseconds first_poll = 800 * one_millisecond;  // after an order, until a load was measured
     Microseconds poll = 200 * one_millisecond;
-    Microseconds settle = 300 * one_millisecond;  // a report tells of a moment some time ago
-    Microseconds believe = one_second;            // a report later than this after an order has seen it
-    Microseconds silence = 2 * one_second;        // without a report, a replica holds no place
-    Microseconds doubt = 600 * one_millisecond;   // the same after a 409, where nothing of ours is under way
-    Microseconds renew = 4 * one_second;  // an overdue one, silent after an order of unknown end, is ordered anew
+    Microseconds settle = 300 * one_millisecond;  // reports may describe a state that is so old
+    Microseconds believe = one_second;            // a report requested so long after an order reflects it
+    Microseconds silence = 2 * one_second;        // a replica without a report for so long holds no place
+    Microseconds doubt = 600 * one_millisecond;   // the same after a 409, when none of our orders is in progress
+    Microseconds renew = 4 * one_second;  // until an overdue, silent replica with unknown order result is reordered
     Microseconds least_pause = 500 * one_millisecond;
     Microseconds longest_pause = 4 * one_second;
-    Microseconds shown = 5 * one_second;  // a word stays this long after the list shows the same
-    Microseconds bound = 0;               // named weights serve everywhere; none: no bound
+    Microseconds shown = 5 * one_second;  // a state stays published so long after the list shows the same
+    Microseconds bound = 0;               // target weights serve everywhere by then; 0: no bound
     Microseconds margin = weights_margin;
 };
 
@@ -83,16 +83,16 @@
         std::string area;
         bool drain = false;
         std::int64_t listed = 0;
-        std::int64_t version = 0;  // newest known to be held
-        std::int64_t wanted = 0;   // of the order under way
+        std::int64_t version = 0;  // newest that the replica is known to have
+        std::int64_t wanted = 0;   // of the order in progress
         std::optional<std::uint64_t> orders;
         bool asking = false;
-        bool told = false;     // a word of it is out
+        bool told = false;     // its state is published
         bool doubted = false;  // the last order was answered 409
-        bool silent = false;   // noted as such
-        bool overdue = false;  // nothing new goes there until it has loaded
+        bool silent = false;   // logged as silent
+        bool overdue = false;  // gets no new requests until it has loaded
         int failures = 0;
-        Microseconds next = 0;  // the next thing is due
+        Microseconds next = 0;  // when the next action is due
         Microseconds announced_at = 0;
         Microseconds ordered_at = 0;
         Microseconds heard_at = 0;
@@ -102,9 +102,9 @@
     NamedVersions named;
     std::int64_t target = 0;
     std::uint64_t fence = 0;
-    std::uint64_t stopped_fence = 0;  // a later holder was seen under this fence: no more orders
-    Microseconds quickest = 0;        // measured from order to report
-    Microseconds held = 0;            // a place, by one replica: measured, smoothed
+    std::uint64_t stopped_fence = 0;  // a replica has seen a later leader than this fence: no more orders
+    Microseconds quickest = 0;        // fastest load, measured from order to report
+    Microseconds held = 0;            // measured time that a replica holds a place, smoothed
     std::map<std::string, Course> courses;
 
     auto step(
@@ -114,12 +114,12 @@
     auto reported(
         std::string const& replica, std::optional<ReportedWeights> const& report, Microseconds asked_at,
         Microseconds now) -> void;
-    // What a former leader told of a replica: an order may be under way there.
+    // Takes the state that a former leader published for a replica: an order may be in progress there.
     auto adopt(ListedReplica const& replica, std::int64_t version, bool loading, Microseconds now) -> void;
-    // The present word of each replica that the list does not tell.
+    // Adds the state of each replica for which the list alone is not enough.
     auto words(std::string const& model, WeightsWords& into) const -> void;
     auto under_way() const -> bool;
-    // Its weights are older than what has to serve everywhere soon: nothing new goes there.
+    // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
     auto late(Course const& course, Microseconds now) const -> bool;
     auto figures(Microseconds now) const -> RolloutFigures;
 
@@ -131,7 +131,7 @@
     auto announce(std::size_t at_once, Microseconds now) -> void;
     auto give_up(Course& course, Microseconds now) -> void;
     auto holds_place(Course const& course, Microseconds now) const -> bool;
-    // Whether loading one more would leave a small service, which the places would take whole, without one that serves.
+    // Whether loading one more replica would leave none that serves, in a service with no more replicas than places.
     auto is_last(std::string_view service, std::size_t least, Microseconds now) const -> bool;
     auto renew_silent(Microseconds now) -> void;
     auto places(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t;
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -16,8 +16,8 @@
     return replicas;
 }
 
-// A large service loads a sixth at a time, or its last replicas would load long
-// after the named version has to serve everywhere.
+// A large service loads a sixth of its replicas at a time, or the last ones would load long
+// after the target version has to serve everywhere.
 auto places_for(std::size_t least, std::size_t replicas) -> std::size_t { return std::max(least, replicas / 6); }
 
 auto address_of(Snapshot const& snapshot, std::string const& replica) -> std::string {
@@ -58,7 +58,7 @@
         std::erase_if(rollouts, [&](auto const& item) { return item.first.first == partition; });
         return;
     }
-    if (snapshot.list.replicas.empty()) return;  // not known yet: a former leader's words stay as they are
+    if (snapshot.list.replicas.empty()) return;  // not known yet: the former leader's published states stay
     auto const& news = control.news[static_cast<std::size_t>(partition)];
     auto const sure = control.proof_age(partition, now) <= one_second &&
         control.proof_age(configuration_partition, now) <= one_second;
@@ -74,7 +74,7 @@
         auto const replicas = listed_for(snapshot, partition, model);
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
-        if (fresh) {  // what a former leader had under way is asked after first
+        if (fresh) {  // continue what a former leader had in progress
             if (!read_told) told = read_words(news.live);
             read_told = true;
             rollout.target = snapshot.target_version(model);
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The duty of a service partition's leased leader to bring replicas to the
-// versions named: which calls are due now. docs/design.md section 11.
+// Runs at the leased leader of a service partition: decides which calls are due now to
+// bring replicas to the target versions. docs/design.md section 11.
 #include "control/snapshot.hpp"
 #include "control/tenure.hpp"
 #include "control/versions_rollout.hpp"
@@ -20,7 +20,7 @@
     std::string model;
     int partition = 0;
 };
-// Why a leader gives no orders though replicas are behind.
+// Why a leader sends no orders although replicas are behind.
 enum class OrdersHeld : int { no, no_lease, new_holder, no_fresh_news };
 inline constexpr auto orders_held_names =
     std::to_array<std::string_view>({"no", "no-lease", "new-holder", "no-fresh-news"});
@@ -28,20 +28,20 @@
 struct DutyActions {
     std::vector<DutyOrder> orders;
     std::vector<DutyReport> reports;
-    std::vector<std::pair<int, std::string>> words;          // partition, and the text to be spread for it
+    std::vector<std::pair<int, std::string>> words;          // partition, and its new live text
     std::vector<std::pair<std::string, RolloutNote>> notes;  // by model
-    std::vector<std::pair<int, OrdersHeld>> held;            // by partition, where it changed
+    std::vector<std::pair<int, OrdersHeld>> held;            // by partition, if it changed
     bool under_way = false;
 };
 
 struct WeightsDuty {
-    Microseconds bound = 0;                       // named weights serve everywhere; none: no bound
-    std::size_t at_once = 3;                      // replicas of one service
-    Microseconds wait = 3'200 * one_millisecond;  // of a new holder
+    Microseconds bound = 0;                       // target weights serve everywhere by then; 0: no bound
+    std::size_t at_once = 3;                      // replicas of one service that load at the same time
+    Microseconds wait = 3'200 * one_millisecond;  // of a new leader before its first order
     std::array<Tenure, partition_count> tenures;
     std::map<std::pair<int, std::string>, VersionsRollout> rollouts;  // by partition and model
 
-    std::map<std::string, NamedVersions> named;  // by model, by the clock of this life, as leader or not
+    std::map<std::string, NamedVersions> named;  // by model, since the start of the process, as leader or not
 
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions;
     auto order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void;
@@ -51,7 +51,7 @@
 
     std::array<OrdersHeld, partition_count> held{};
 
-    auto figures(Microseconds now) const -> RolloutFigures;  // of all models led here
+    auto figures(Microseconds now) const -> RolloutFigures;  // sum over all models led by this node
 
    private:
     auto step_partition(
@@ -60,10 +60,10 @@
     auto note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void;
 };
 
-// One replica takes orders of one holder: that of the partition which its first model lies in.
+// A replica gets orders from one leader only: that of the partition that holds its first model; -1: no model.
 auto ordering_partition(ReplicaEntry const& entry) -> int;
 
-// Asked again right before an order is sent.
+// Whether orders may be sent under this fence; checked again right before an order is sent.
 auto may_order(Control const& control, int partition, std::uint64_t fence, Microseconds now) -> bool;
 
 }  // namespace dockrock
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// A node's own guard against replicas of older weights, behind the leader's word:
-// near the end of the time in which named weights have to serve everywhere,
-// nothing new goes to replicas that hold older ones; nor, for a moment, to
-// replicas of models whose named version this node has not heard of in its life.
+// A node's own guard against replicas with older weights, in addition to the states that
+// the leader publishes: near the deadline by which target weights must serve everywhere, no
+// new requests go to replicas with older ones. After a start, the same holds for a short
+// time for models whose target version this node does not know yet.
 // docs/design.md section 11.4.
 #include <algorithm>
 #include <bitset>
@@ -16,12 +16,12 @@
 
 struct WeightsGuard {
     static constexpr Microseconds patience = 3 * one_second;
-    Microseconds bound = 0;                             // named weights serve everywhere; none: no bound
-    std::bitset<partition_count> heard;                 // service partitions whose leader was heard of in this life
+    Microseconds bound = 0;                             // target weights serve everywhere by then; 0: no bound
+    std::bitset<partition_count> heard;                 // service partitions with a leader's proof since the start
     std::map<std::string, NamedVersions> named;         // by model
     std::map<std::string, Microseconds> unheard_since;  // by model
     std::set<std::string> withheld;
-    Microseconds judge_at = never;  // when the next replica's weights get late
+    Microseconds judge_at = never;  // when the next replica becomes overdue
 
     static constexpr auto never = std::numeric_limits<Microseconds>::max();
 
@@ -39,7 +39,7 @@
     auto late(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
         return now >= late_from(model, version);
     }
-    // Whether a version was named is not known yet; it is waited for so long.
+    // The target version is not known yet and `patience` has not run out.
     auto unjudged(std::string const& model, int partition, Microseconds now) -> bool {
         if (heard[static_cast<std::size_t>(partition)]) return false;
         return now - unheard_since.try_emplace(model, now).first->second < patience;
@@ -50,20 +50,20 @@
         return earliest;
     }
     auto late(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= late_from(held); }
-    // Replicas are judged when something was heard of them, and again at this moment.
+    // Replicas are checked when their state changes, and again at `judge_at`.
     auto plan_judging(WeightsWords const& replicas, Microseconds now) -> void {
         judge_at = never;
         for (auto const& [name, held] : replicas)
             if (auto const from = late_from(held); from > now) judge_at = std::min(judge_at, from);
     }
-    // What is said to be named, or not to be, counts once its partition was heard of.
+    // The targets of a partition, or their absence, are known once it had a proof.
     static auto heard_by(Control const& control) -> std::bitset<partition_count> {
         std::bitset<partition_count> partitions;
         for (auto index = std::size_t{1}; index <= service_partitions; ++index)
             partitions[index] = control.news[index].proven_at > PartitionNews().proven_at;
         return partitions;
     }
-    // True where it begins, to be told once.
+    // True if the replica was not withheld before, so that it is logged once.
     auto withhold(std::string const& replica, bool is_late) -> bool {
         if (is_late) return withheld.insert(replica).second;
         withheld.erase(replica);
