--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -76,7 +76,7 @@
     Microseconds since = 0;
     Microseconds told_at = 0;
     Microseconds heard_at = 0;
-    std::map<std::string, Microseconds> avoided;  // until
+    std::map<std::string, Microseconds> avoided;  // by relay: until when it is not used
     bool relayed = false;                         // load reports go through relays now
 
     auto choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const*;
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -16,8 +16,8 @@
     Microseconds service_ask_limit = 900 * one_millisecond;
     Microseconds direct = 2 * one_second;  // how long a relay that was silent or behind is bypassed
     Microseconds resting_interval = one_second;
-    Microseconds proof_limit = 1'500 * one_millisecond;  // older: no new entry is granted (granting.hpp)
-    Microseconds shed_limit = 4 * one_second;            // older: tickets are shed at once
+    Microseconds proof_limit = 1'500 * one_millisecond;  // older: no requests are admitted (scheduler.hpp)
+    Microseconds shed_limit = 4 * one_second;            // older: requests are shed at once
     Microseconds list_interval = 300 * one_millisecond;
     Microseconds list_fallback = 1'200 * one_millisecond;
     Microseconds call_limit = 4 * one_second;
--- a/source/control/work_limits.hpp
+++ b/source/control/work_limits.hpp
@@ -18,8 +18,7 @@
 // `weights_margin`, when the order for the newer version rejects requests that have not begun; running ones can end
 // in between.
 inline constexpr Microseconds recall_margin = one_second;  // a node may learn of a target so much later than the leader
-inline constexpr Microseconds end_margin =
-    300 * one_millisecond;  // for requests whose sender can no longer recall them
+inline constexpr Microseconds end_margin = 300 * one_millisecond;  // for senders that can no longer recall requests
 
 // `bound`: the time in which target weights have to serve everywhere; 0: no limits. A version that becomes the target
 // after `now` leaves at least as much time as one that does so now.
