--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -7,11 +7,11 @@
 namespace dockrock {
 
 namespace {
-using Stage = VersionsRollout::Course::Stage;
+using Stage = VersionsRollout::ReplicaProgress::Stage;
 }  // namespace
 
-auto VersionsRollout::late(Course const& course, Microseconds now) const -> bool {
-    auto const since = named.named_after(course.version);
+auto VersionsRollout::late(ReplicaProgress const& progress, Microseconds now) const -> bool {
+    auto const since = named.named_after(progress.version);
     return times.bound > 0 && since && now - *since >= times.bound - times.margin;
 }
 
@@ -22,12 +22,12 @@
     if (times.bound == 0 || held == 0) return least;
     auto replicas = std::size_t{0};
     std::multimap<Microseconds, double> behind;  // time left, and the part of a load that is still to be done
-    for (auto const& [name, course] : courses) {
-        if (course.service != service || course.drain) continue;
+    for (auto const& [name, progress] : by_replica) {
+        if (progress.service != service || progress.drain) continue;
         ++replicas;
-        auto const since = named.named_after(course.version);
-        if (since && !late(course, now))
-            behind.emplace(*since + times.bound - times.margin - now, course.stage == Stage::idle ? 1.0 : 0.5);
+        auto const since = named.named_after(progress.version);
+        if (since && !late(progress, now))
+            behind.emplace(*since + times.bound - times.margin - now, progress.stage == Stage::idle ? 1.0 : 0.5);
     }
     auto needed = 0.0;
     auto loads = -static_cast<double>(least);
@@ -44,11 +44,11 @@
     auto serving = std::size_t{0};
     auto away = std::size_t{0};
     auto replicas = std::size_t{0};
-    for (auto const& [name, course] : courses) {
-        if (course.service != service || course.drain) continue;
+    for (auto const& [name, progress] : by_replica) {
+        if (progress.service != service || progress.drain) continue;
         ++replicas;
-        if (course.stage == Stage::idle) serving += late(course, now) ? 0 : 1;
-        else away += times.bound > 0 || holds_place(course, now) ? 1 : 0;
+        if (progress.stage == Stage::idle) serving += late(progress, now) ? 0 : 1;
+        else away += times.bound > 0 || holds_place(progress, now) ? 1 : 0;
     }
     return replicas <= least && serving <= 1 && away > 0;
 }
@@ -56,51 +56,51 @@
 // If an overdue replica answers no report, it is unknown whether its order was taken. It is sent again
 // without an expected count; a replica that holds or is loading the version does not load it twice.
 auto VersionsRollout::renew_silent(Microseconds now) -> void {
-    for (auto& [name, course] : courses) {
-        if (course.stage != Stage::unsure || !late(course, now) || now - course.heard_at < times.renew) continue;
-        course.stage = Stage::idle;
-        course.orders.reset();
-        course.next = now;
+    for (auto& [name, progress] : by_replica) {
+        if (progress.stage != Stage::unsure || !late(progress, now) || now - progress.heard_at < times.renew) continue;
+        progress.stage = Stage::idle;
+        progress.orders.reset();
+        progress.next = now;
     }
 }
 
 // Logs each time that a replica becomes silent or overdue.
 auto VersionsRollout::note(Microseconds now) -> void {
-    for (auto& [name, course] : courses) {
-        auto const silent = course.stage != Stage::idle && !holds_place(course, now);
-        if (silent && !course.silent)
-            notes.push_back({RolloutNote::Kind::silent, name, course.version, now - course.ordered_at});
-        course.silent = silent;
-        auto const overdue = late(course, now);
-        if (overdue && !course.overdue)
+    for (auto& [name, progress] : by_replica) {
+        auto const silent = progress.stage != Stage::idle && !holds_place(progress, now);
+        if (silent && !progress.silent)
+            notes.push_back({RolloutNote::Kind::silent, name, progress.version, now - progress.ordered_at});
+        progress.silent = silent;
+        auto const overdue = late(progress, now);
+        if (overdue && !progress.overdue)
             notes.push_back(
-                {RolloutNote::Kind::overdue, name, course.version, now - *named.named_after(course.version)});
-        course.overdue = overdue;
+                {RolloutNote::Kind::overdue, name, progress.version, now - *named.named_after(progress.version)});
+        progress.overdue = overdue;
     }
 }
 
 auto VersionsRollout::figures(Microseconds now) const -> RolloutFigures {
     RolloutFigures figures;
-    for (auto const& [name, course] : courses) {
-        if (late(course, now)) ++figures.overdue;
-        if (course.drain || course.version >= target) continue;
+    for (auto const& [name, progress] : by_replica) {
+        if (late(progress, now)) ++figures.overdue;
+        if (progress.drain || progress.version >= target) continue;
         ++figures.behind;
-        if (auto const since = named.named_after(course.version))
+        if (auto const since = named.named_after(progress.version))
             figures.oldest = std::max(figures.oldest, now - *since);
     }
     return figures;
 }
 
-auto VersionsRollout::loaded(std::string const& name, Course& course, Microseconds now) -> void {
-    if (course.stage == Stage::loading)
-        notes.push_back({RolloutNote::Kind::loaded, name, course.version, now - course.ordered_at});
-    if (course.stage == Stage::loading && course.announced_at != 0) {
-        auto const took = now - course.announced_at;
+auto VersionsRollout::loaded(std::string const& name, ReplicaProgress& progress, Microseconds now) -> void {
+    if (progress.stage == Stage::loading)
+        notes.push_back({RolloutNote::Kind::loaded, name, progress.version, now - progress.ordered_at});
+    if (progress.stage == Stage::loading && progress.announced_at != 0) {
+        auto const took = now - progress.announced_at;
         held = held == 0 ? took : (3 * held + took) / 4;
     }
-    course.stage = Stage::idle;
-    course.failures = 0;
-    course.next = now;
+    progress.stage = Stage::idle;
+    progress.failures = 0;
+    progress.next = now;
 }
 
 }  // namespace dockrock
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -8,41 +8,41 @@
 namespace dockrock {
 
 namespace {
-using Stage = VersionsRollout::Course::Stage;
+using Stage = VersionsRollout::ReplicaProgress::Stage;
 
-auto polled(VersionsRollout::Course const& course) -> bool {
-    return course.stage == Stage::unsure || course.stage == Stage::loading;
+auto polled(VersionsRollout::ReplicaProgress const& progress) -> bool {
+    return progress.stage == Stage::unsure || progress.stage == Stage::loading;
 }
 }  // namespace
 
-auto VersionsRollout::holds_place(Course const& course, Microseconds now) const -> bool {
-    if (course.stage == Stage::idle) return false;
-    return !polled(course) || now - course.heard_at <= (course.doubted ? times.doubt : times.silence);
+auto VersionsRollout::holds_place(ReplicaProgress const& progress, Microseconds now) const -> bool {
+    if (progress.stage == Stage::idle) return false;
+    return !polled(progress) || now - progress.heard_at <= (progress.doubted ? times.doubt : times.silence);
 }
 
 auto VersionsRollout::take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void {
     std::set<std::string_view> named;
     for (auto const& replica : replicas) {
         named.insert(replica.name);
-        auto& course = courses[replica.name];
-        course.service = replica.service;
-        course.area = replica.area;
-        course.drain = replica.drain;
-        course.listed = replica.version;
-        course.version = std::max(course.version, replica.version);
-        if (polled(course) && course.listed >= course.wanted) {
-            loaded(replica.name, course, now);
-            course.orders.reset();  // the known count is from before this load
+        auto& progress = by_replica[replica.name];
+        progress.service = replica.service;
+        progress.area = replica.area;
+        progress.drain = replica.drain;
+        progress.listed = replica.version;
+        progress.version = std::max(progress.version, replica.version);
+        if (polled(progress) && progress.listed >= progress.wanted) {
+            loaded(replica.name, progress, now);
+            progress.orders.reset();  // the known count is from before this load
         }
-        if (course.stage != Stage::idle || !course.told || course.listed < course.version) {
-            course.shown_at = 0;
-        } else if (course.shown_at == 0) {
-            course.shown_at = now;
-        } else if (now - course.shown_at > times.shown) {
-            course.told = false;
+        if (progress.stage != Stage::idle || !progress.told || progress.listed < progress.version) {
+            progress.shown_at = 0;
+        } else if (progress.shown_at == 0) {
+            progress.shown_at = now;
+        } else if (now - progress.shown_at > times.shown) {
+            progress.told = false;
         }
     }
-    std::erase_if(courses, [&](auto const& item) { return !named.contains(item.first); });
+    std::erase_if(by_replica, [&](auto const& item) { return !named.contains(item.first); });
 }
 
 auto VersionsRollout::step(
@@ -54,24 +54,24 @@
     if (wanted > target) {
         target = wanted;
         if (wanted > first_version) notes.push_back({RolloutNote::Kind::named, "", wanted, 0});
-        for (auto& [name, course] : courses) course.failures = 0;
+        for (auto& [name, progress] : by_replica) progress.failures = 0;
     }
     may_order = may_order && fence > stopped_fence;
     RolloutActions actions;
-    for (auto& [name, course] : courses) {
-        if (polled(course) && !course.asking && now >= course.next) {
-            course.asking = true;
+    for (auto& [name, progress] : by_replica) {
+        if (polled(progress) && !progress.asking && now >= progress.next) {
+            progress.asking = true;
             actions.reports.push_back(name);
         }
-        if (course.stage != Stage::announced || now < course.next) continue;
-        if (!may_order || course.version >= target || (course.drain && !late(course, now))) {
-            course.stage = Stage::idle;
+        if (progress.stage != Stage::announced || now < progress.next) continue;
+        if (!may_order || progress.version >= target || (progress.drain && !late(progress, now))) {
+            progress.stage = Stage::idle;
             continue;
         }
-        course.stage = Stage::ordering;
-        course.wanted = target;
-        course.ordered_at = course.heard_at = now;
-        actions.orders.push_back({name, target, course.orders});
+        progress.stage = Stage::ordering;
+        progress.wanted = target;
+        progress.ordered_at = progress.heard_at = now;
+        actions.orders.push_back({name, target, progress.orders});
     }
     renew_silent(now);
     if (may_order) announce(at_once, now);
@@ -87,78 +87,78 @@
     std::map<std::string_view, std::size_t> busy;
     std::map<std::string_view, std::size_t> allowed;
     std::map<std::pair<std::string_view, std::string_view>, std::size_t> busy_there;
-    for (auto const& [name, course] : courses) {
-        if (!allowed.contains(course.service)) allowed[course.service] = places(course.service, at_once, now);
-        if (!holds_place(course, now)) continue;
-        ++busy[course.service];
-        ++busy_there[{course.service, course.area}];
+    for (auto const& [name, progress] : by_replica) {
+        if (!allowed.contains(progress.service)) allowed[progress.service] = places(progress.service, at_once, now);
+        if (!holds_place(progress, now)) continue;
+        ++busy[progress.service];
+        ++busy_there[{progress.service, progress.area}];
     }
-    auto const first = [&](Course const& course) {
+    auto const first = [&](ReplicaProgress const& progress) {
         return std::tuple(
-            named.named_after(course.version), course.failures, busy_there[{course.service, course.area}]);
+            named.named_after(progress.version), progress.failures, busy_there[{progress.service, progress.area}]);
     };
     while (true) {
-        std::pair<std::string const, Course>* best = nullptr;
-        for (auto& item : courses) {
-            auto const& course = item.second;
-            if (course.stage != Stage::idle || course.version >= target || now < course.next) continue;
-            auto const paced = !late(course, now);
-            if (paced && (course.drain || busy[course.service] >= allowed[course.service])) continue;
-            if (paced && is_last(course.service, at_once, now)) continue;
-            if (best == nullptr || first(course) < first(best->second)) best = &item;
+        std::pair<std::string const, ReplicaProgress>* best = nullptr;
+        for (auto& item : by_replica) {
+            auto const& progress = item.second;
+            if (progress.stage != Stage::idle || progress.version >= target || now < progress.next) continue;
+            auto const paced = !late(progress, now);
+            if (paced && (progress.drain || busy[progress.service] >= allowed[progress.service])) continue;
+            if (paced && is_last(progress.service, at_once, now)) continue;
+            if (best == nullptr || first(progress) < first(best->second)) best = &item;
         }
         if (best == nullptr) return;
-        auto& course = best->second;
-        course.stage = Stage::announced;
-        course.told = true;
-        course.wanted = target;
-        course.announced_at = now;
-        course.next = now + times.announce;
+        auto& progress = best->second;
+        progress.stage = Stage::announced;
+        progress.told = true;
+        progress.wanted = target;
+        progress.announced_at = now;
+        progress.next = now + times.announce;
         notes.push_back({RolloutNote::Kind::announced, best->first, target, 0});
-        ++busy[course.service];
-        ++busy_there[{course.service, course.area}];
+        ++busy[progress.service];
+        ++busy_there[{progress.service, progress.area}];
     }
 }
 
-auto VersionsRollout::give_up(Course& course, Microseconds now) -> void {
-    course.stage = Stage::idle;
-    auto const doublings = course.overdue ? 0 : std::min(course.failures, 6);
-    course.next = now + std::min(times.longest_pause, times.least_pause << doublings);
-    ++course.failures;
+auto VersionsRollout::give_up(ReplicaProgress& progress, Microseconds now) -> void {
+    progress.stage = Stage::idle;
+    auto const doublings = progress.overdue ? 0 : std::min(progress.failures, 6);
+    progress.next = now + std::min(times.longest_pause, times.least_pause << doublings);
+    ++progress.failures;
 }
 
 auto VersionsRollout::order_ended(std::string const& replica, OrderEnd end, Microseconds now) -> void {
-    auto const found = courses.find(replica);
-    if (found == courses.end() || found->second.stage != Stage::ordering) return;
-    auto& course = found->second;
-    course.doubted = end == OrderEnd::conflict;
+    auto const found = by_replica.find(replica);
+    if (found == by_replica.end() || found->second.stage != Stage::ordering) return;
+    auto& progress = found->second;
+    progress.doubted = end == OrderEnd::conflict;
     switch (end) {
         case OrderEnd::taken:
-            course.stage = Stage::loading;
-            course.next = course.ordered_at + (quickest == 0 ? times.first_poll : quickest * 9 / 10);
-            course.heard_at = course.next;  // not silent before its first poll
+            progress.stage = Stage::loading;
+            progress.next = progress.ordered_at + (quickest == 0 ? times.first_poll : quickest * 9 / 10);
+            progress.heard_at = progress.next;  // not silent before its first poll
             break;
         case OrderEnd::holds:
-            course.stage = Stage::idle;
-            course.version = std::max(course.version, course.wanted);
-            course.failures = 0;
-            course.next = now;
+            progress.stage = Stage::idle;
+            progress.version = std::max(progress.version, progress.wanted);
+            progress.failures = 0;
+            progress.next = now;
             break;
         case OrderEnd::conflict:
         case OrderEnd::unknown:
-            course.stage = Stage::unsure;
-            course.next = now + times.settle;
+            progress.stage = Stage::unsure;
+            progress.next = now + times.settle;
             break;
         case OrderEnd::fenced:
-            course.stage = Stage::idle;
+            progress.stage = Stage::idle;
             stopped_fence = std::max(stopped_fence, fence);
             break;
         case OrderEnd::elsewhere:
         case OrderEnd::refused:
-        case OrderEnd::unreachable: give_up(course, now); break;
+        case OrderEnd::unreachable: give_up(progress, now); break;
         case OrderEnd::not_sent:
-            course.stage = Stage::idle;
-            course.next = now;
+            progress.stage = Stage::idle;
+            progress.next = now;
             break;
     }
 }
@@ -166,60 +166,60 @@
 auto VersionsRollout::reported(
     std::string const& replica, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
     -> void {
-    auto const found = courses.find(replica);
-    if (found == courses.end()) return;
-    auto& course = found->second;
-    course.asking = false;
+    auto const found = by_replica.find(replica);
+    if (found == by_replica.end()) return;
+    auto& progress = found->second;
+    progress.asking = false;
     if (!report) {
-        course.next = now + (holds_place(course, now) ? times.poll : one_second);
+        progress.next = now + (holds_place(progress, now) ? times.poll : one_second);
         return;
     }
-    course.heard_at = now;
-    course.orders = report->orders;
-    course.version = std::max(course.version, report->version);
-    if (!polled(course)) return;
-    if (course.version >= course.wanted && !report->busy) {
-        auto const took = now - course.ordered_at;
-        if (course.stage == Stage::loading && course.ordered_at != 0)
+    progress.heard_at = now;
+    progress.orders = report->orders;
+    progress.version = std::max(progress.version, report->version);
+    if (!polled(progress)) return;
+    if (progress.version >= progress.wanted && !report->busy) {
+        auto const took = now - progress.ordered_at;
+        if (progress.stage == Stage::loading && progress.ordered_at != 0)
             quickest = quickest == 0 ? took : std::min(quickest, took);
-        loaded(replica, course, now);
+        loaded(replica, progress, now);
     } else if (report->busy) {
-        course.stage = Stage::loading;
-        course.doubted = false;
-        course.next = now + times.poll;
-    } else if (asked_at - course.ordered_at < (course.doubted ? times.settle : times.believe)) {
-        course.next = now + times.poll;  // the report may be from before the order
+        progress.stage = Stage::loading;
+        progress.doubted = false;
+        progress.next = now + times.poll;
+    } else if (asked_at - progress.ordered_at < (progress.doubted ? times.settle : times.believe)) {
+        progress.next = now + times.poll;  // the report may be from before the order
     } else {
-        give_up(course, now);  // not taken, or failed: ordered again with the count just reported
+        give_up(progress, now);  // not taken, or failed: ordered again with the count just reported
     }
 }
 
 auto VersionsRollout::adopt(ListedReplica const& replica, std::int64_t version, bool loading, Microseconds now)
     -> void {
-    auto& course = courses[replica.name];
-    course.service = replica.service;
-    course.version = std::max({course.version, replica.version, version});
-    course.told = true;
-    if (!loading || course.stage != Stage::idle) return;
-    course.stage = Stage::unsure;
-    course.wanted = std::max(target, course.version + 1);
-    course.ordered_at = course.heard_at = course.next = now;
+    auto& progress = by_replica[replica.name];
+    progress.service = replica.service;
+    progress.version = std::max({progress.version, replica.version, version});
+    progress.told = true;
+    if (!loading || progress.stage != Stage::idle) return;
+    progress.stage = Stage::unsure;
+    progress.wanted = std::max(target, progress.version + 1);
+    progress.ordered_at = progress.heard_at = progress.next = now;
 }
 
 auto VersionsRollout::words(std::string const& model, WeightsWords& into) const -> void {
-    for (auto const& [name, course] : courses) {
-        auto const closed = course.stage != Stage::idle || course.overdue;
-        if (!course.told && !closed && course.version <= course.listed) continue;
+    for (auto const& [name, progress] : by_replica) {
+        auto const closed = progress.stage != Stage::idle || progress.overdue;
+        if (!progress.told && !closed && progress.version <= progress.listed) continue;
         auto& word = into[name];
-        word.versions[model] = course.version;
+        word.versions[model] = progress.version;
         word.loading = word.loading || closed;
     }
 }
 
 auto VersionsRollout::under_way() const -> bool {
-    return std::any_of(courses.begin(), courses.end(), [&](auto const& item) {
-        auto const& course = item.second;
-        return course.stage != Stage::idle || (course.version < target && (!course.drain || course.overdue));
+    return std::any_of(by_replica.begin(), by_replica.end(), [&](auto const& item) {
+        auto const& progress = item.second;
+        return progress.stage != Stage::idle || (progress.version < target && (!progress.drain || progress.overdue));
     });
 }
 
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -76,7 +76,7 @@
 };
 
 struct VersionsRollout {
-    struct Course {
+    struct ReplicaProgress {
         enum class Stage : int { idle, announced, ordering, unsure, loading };
         Stage stage = Stage::idle;
         std::string service;
@@ -105,7 +105,7 @@
     std::uint64_t stopped_fence = 0;  // a replica has seen a later leader than this fence: no more orders
     Microseconds quickest = 0;        // fastest load, measured from order to report
     Microseconds held = 0;            // measured time that a replica holds a place, smoothed
-    std::map<std::string, Course> courses;
+    std::map<std::string, ReplicaProgress> by_replica;
 
     auto step(
         std::int64_t wanted, std::uint64_t under_fence, bool may_order, std::size_t at_once,
@@ -120,17 +120,17 @@
     auto words(std::string const& model, WeightsWords& into) const -> void;
     auto under_way() const -> bool;
     // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
-    auto late(Course const& course, Microseconds now) const -> bool;
+    auto late(ReplicaProgress const& progress, Microseconds now) const -> bool;
     auto figures(Microseconds now) const -> RolloutFigures;
 
    private:
     std::vector<RolloutNote> notes;  // since the last step
     auto note(Microseconds now) -> void;
-    auto loaded(std::string const& name, Course& course, Microseconds now) -> void;
+    auto loaded(std::string const& name, ReplicaProgress& progress, Microseconds now) -> void;
     auto take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void;
     auto announce(std::size_t at_once, Microseconds now) -> void;
-    auto give_up(Course& course, Microseconds now) -> void;
-    auto holds_place(Course const& course, Microseconds now) const -> bool;
+    auto give_up(ReplicaProgress& progress, Microseconds now) -> void;
+    auto holds_place(ReplicaProgress const& progress, Microseconds now) const -> bool;
     // Whether loading one more replica would leave none that serves, in a service with no more replicas than places.
     auto is_last(std::string_view service, std::size_t least, Microseconds now) const -> bool;
     auto renew_silent(Microseconds now) -> void;
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -104,7 +104,7 @@
     pool.name_version(4);
     auto ordered = std::vector<std::int64_t>();
     pool.bend = [&](auto const& order, auto end) {
-        return ordered.push_back(pool.rollout.courses[order.replica].version), end;
+        return ordered.push_back(pool.rollout.by_replica[order.replica].version), end;
     };
     REQUIRE(pool.run_until([&] { return pool.all_hold(4); }, 15 * one_second));
     CHECK(std::is_sorted(ordered.begin(), ordered.end()));
--- a/tests/versions_rollout_test.cpp
+++ b/tests/versions_rollout_test.cpp
@@ -123,8 +123,8 @@
     auto pool = Pool(7);
     REQUIRE(pool.run_until([&] { return pool.orders == 3; }, 2 * one_second));
     auto ordered = std::vector<std::string>();
-    for (auto const& [name, course] : pool.rollout.courses)
-        if (course.stage == VersionsRollout::Course::Stage::loading) ordered.push_back(name);
+    for (auto const& [name, progress] : pool.rollout.by_replica)
+        if (progress.stage == VersionsRollout::ReplicaProgress::Stage::loading) ordered.push_back(name);
     REQUIRE(ordered.size() == 3);
     pool.replicas[ordered[0]].listed = false;
     pool.replicas[ordered[1]].silent = true;
@@ -135,7 +135,7 @@
         return behind <= 1;
     };
     CHECK(pool.run_until(others_hold, 8 * one_second));
-    CHECK_FALSE(pool.rollout.courses.contains(ordered[0]));
+    CHECK_FALSE(pool.rollout.by_replica.contains(ordered[0]));
     // A new life in its stead, with its former weights.
     pool.replicas["r99"];
     pool.replicas[ordered[1]].silent = false;
