--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -18,8 +18,8 @@
 // The number of replicas that may load at the same time: enough that, when older weights get no new
 // requests any more, only one round of `least` replicas is left, which is ordered then. Computed from
 // the measured time that a load takes; never above half of the replicas.
-auto VersionsRollout::places(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t {
-    if (times.bound == 0 || held == 0) return least;
+auto VersionsRollout::load_slots(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t {
+    if (times.bound == 0 || slot_time == 0) return least;
     auto replicas = std::size_t{0};
     std::multimap<Microseconds, double> behind;  // time left, and the part of a load that is still to be done
     for (auto const& [name, progress] : by_replica) {
@@ -33,7 +33,7 @@
     auto loads = -static_cast<double>(least);
     for (auto const& [left, part] : behind) {
         loads += part;
-        needed = std::max(needed, loads * static_cast<double>(held) / static_cast<double>(left));
+        needed = std::max(needed, loads * static_cast<double>(slot_time) / static_cast<double>(left));
     }
     auto const most = std::max(least, replicas / 2);
     return std::clamp(static_cast<std::size_t>(std::min(needed + 0.5, static_cast<double>(most))), least, most);
@@ -48,7 +48,7 @@
         if (progress.service != service || progress.drain) continue;
         ++replicas;
         if (progress.stage == Stage::idle) serving += late(progress, now) ? 0 : 1;
-        else away += times.bound > 0 || holds_place(progress, now) ? 1 : 0;
+        else away += times.bound > 0 || occupies_slot(progress, now) ? 1 : 0;
     }
     return replicas <= least && serving <= 1 && away > 0;
 }
@@ -67,7 +67,7 @@
 // Logs each time that a replica becomes silent or overdue.
 auto VersionsRollout::note(Microseconds now) -> void {
     for (auto& [name, progress] : by_replica) {
-        auto const silent = progress.stage != Stage::idle && !holds_place(progress, now);
+        auto const silent = progress.stage != Stage::idle && !occupies_slot(progress, now);
         if (silent && !progress.silent)
             notes.push_back({RolloutNote::Kind::silent, name, progress.version, now - progress.ordered_at});
         progress.silent = silent;
@@ -96,7 +96,7 @@
         notes.push_back({RolloutNote::Kind::loaded, name, progress.version, now - progress.ordered_at});
     if (progress.stage == Stage::loading && progress.announced_at != 0) {
         auto const took = now - progress.announced_at;
-        held = held == 0 ? took : (3 * held + took) / 4;
+        slot_time = slot_time == 0 ? took : (3 * slot_time + took) / 4;
     }
     progress.stage = Stage::idle;
     progress.failures = 0;
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-auto VersionsRollout::holds_place(ReplicaProgress const& progress, Microseconds now) const -> bool {
+auto VersionsRollout::occupies_slot(ReplicaProgress const& progress, Microseconds now) const -> bool {
     if (progress.stage == Stage::idle) return false;
     return !polled(progress) || now - progress.heard_at <= (progress.doubted ? times.doubt : times.silence);
 }
@@ -80,16 +80,16 @@
     return actions;
 }
 
-// Fills free places immediately: first with replicas that are due first, then with those
-// of areas with the fewest loads in progress. An overdue replica needs no place, since it
+// Fills free load slots immediately: first with replicas that are due first, then with those
+// of areas with the fewest loads in progress. An overdue replica needs no slot, since it
 // gets no requests anyway; a draining one is only loaded when it is overdue.
 auto VersionsRollout::announce(std::size_t at_once, Microseconds now) -> void {
     std::map<std::string_view, std::size_t> busy;
     std::map<std::string_view, std::size_t> allowed;
     std::map<std::pair<std::string_view, std::string_view>, std::size_t> busy_there;
     for (auto const& [name, progress] : by_replica) {
-        if (!allowed.contains(progress.service)) allowed[progress.service] = places(progress.service, at_once, now);
-        if (!holds_place(progress, now)) continue;
+        if (!allowed.contains(progress.service)) allowed[progress.service] = load_slots(progress.service, at_once, now);
+        if (!occupies_slot(progress, now)) continue;
         ++busy[progress.service];
         ++busy_there[{progress.service, progress.area}];
     }
@@ -171,7 +171,7 @@
     auto& progress = found->second;
     progress.asking = false;
     if (!report) {
-        progress.next = now + (holds_place(progress, now) ? times.poll : one_second);
+        progress.next = now + (occupies_slot(progress, now) ? times.poll : one_second);
         return;
     }
     progress.heard_at = now;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -65,7 +65,7 @@
     Microseconds poll = 200 * one_millisecond;
     Microseconds settle = 300 * one_millisecond;  // reports may describe a state that is so old
     Microseconds believe = one_second;            // a report requested so long after an order reflects it
-    Microseconds silence = 2 * one_second;        // a replica without a report for so long holds no place
+    Microseconds silence = 2 * one_second;        // a replica without a report for so long occupies no load slot
     Microseconds doubt = 600 * one_millisecond;   // the same after a 409, when none of our orders is in progress
     Microseconds renew = 4 * one_second;  // until an overdue, silent replica with unknown order result is reordered
     Microseconds least_pause = 500 * one_millisecond;
@@ -104,7 +104,7 @@
     std::uint64_t fence = 0;
     std::uint64_t stopped_fence = 0;  // a replica has seen a later leader than this fence: no more orders
     Microseconds quickest = 0;        // fastest load, measured from order to report
-    Microseconds held = 0;            // measured time that a replica holds a place, smoothed
+    Microseconds slot_time = 0;       // measured time that a replica occupies a load slot, smoothed
     std::map<std::string, ReplicaProgress> by_replica;
 
     auto step(
@@ -130,11 +130,12 @@
     auto take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void;
     auto announce(std::size_t at_once, Microseconds now) -> void;
     auto give_up(ReplicaProgress& progress, Microseconds now) -> void;
-    auto holds_place(ReplicaProgress const& progress, Microseconds now) const -> bool;
-    // Whether loading one more replica would leave none that serves, in a service with no more replicas than places.
+    auto occupies_slot(ReplicaProgress const& progress, Microseconds now) const -> bool;
+    // Whether loading one more replica would leave none that serves, in a service with no more replicas than load
+    // slots.
     auto is_last(std::string_view service, std::size_t least, Microseconds now) const -> bool;
     auto renew_silent(Microseconds now) -> void;
-    auto places(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t;
+    auto load_slots(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t;
 };
 
 }  // namespace dockrock
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -18,7 +18,7 @@
 
 // A large service loads a sixth of its replicas at a time, or the last ones would load long
 // after the target version has to serve everywhere.
-auto places_for(std::size_t least, std::size_t replicas) -> std::size_t { return std::max(least, replicas / 6); }
+auto load_slots_for(std::size_t least, std::size_t replicas) -> std::size_t { return std::max(least, replicas / 6); }
 
 auto address_of(Snapshot const& snapshot, std::string const& replica) -> std::string {
     for (auto const& entry : snapshot.list.replicas)
@@ -87,8 +87,8 @@
         rollout.named.merge(named[model]);
         auto const fence = record.term;
         auto const ordering = waited && sure && may_order(control, partition, fence, now);
-        auto const places = places_for(at_once, replicas.size());
-        auto const due = rollout.step(snapshot.target_version(model), fence, ordering, places, replicas, now);
+        auto const load_slots = load_slots_for(at_once, replicas.size());
+        auto const due = rollout.step(snapshot.target_version(model), fence, ordering, load_slots, replicas, now);
         for (auto const& order : due.orders)
             actions.orders.push_back({order, address_of(snapshot, order.replica), model, fence, partition});
         for (auto const& replica : due.reports)
