--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -55,9 +55,10 @@
 
 // If an overdue replica answers no report, it is unknown whether its order was taken. It is sent again
 // without an expected count; a replica that holds or is loading the version does not load it twice.
-auto VersionsRollout::renew_silent(Microseconds now) -> void {
+auto VersionsRollout::reorder_silent(Microseconds now) -> void {
     for (auto& [name, progress] : by_replica) {
-        if (progress.stage != Stage::unsure || !late(progress, now) || now - progress.heard_at < times.renew) continue;
+        if (progress.stage != Stage::unsure || !late(progress, now) || now - progress.heard_at < times.reorder_after)
+            continue;
         progress.stage = Stage::idle;
         progress.orders.reset();
         progress.next = now;
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -17,7 +17,8 @@
 
 auto VersionsRollout::occupies_slot(ReplicaProgress const& progress, Microseconds now) const -> bool {
     if (progress.stage == Stage::idle) return false;
-    return !polled(progress) || now - progress.heard_at <= (progress.doubted ? times.doubt : times.silence);
+    return !polled(progress) ||
+        now - progress.heard_at <= (progress.conflicted ? times.conflict_silence : times.silence);
 }
 
 auto VersionsRollout::take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void {
@@ -34,12 +35,12 @@
             loaded(replica.name, progress, now);
             progress.orders.reset();  // the known count is from before this load
         }
-        if (progress.stage != Stage::idle || !progress.told || progress.listed < progress.version) {
-            progress.shown_at = 0;
-        } else if (progress.shown_at == 0) {
-            progress.shown_at = now;
-        } else if (now - progress.shown_at > times.shown) {
-            progress.told = false;
+        if (progress.stage != Stage::idle || !progress.published || progress.listed < progress.version) {
+            progress.listed_since = 0;
+        } else if (progress.listed_since == 0) {
+            progress.listed_since = now;
+        } else if (now - progress.listed_since > times.unpublish_after) {
+            progress.published = false;
         }
     }
     std::erase_if(by_replica, [&](auto const& item) { return !named.contains(item.first); });
@@ -59,8 +60,8 @@
     may_order = may_order && fence > stopped_fence;
     RolloutActions actions;
     for (auto& [name, progress] : by_replica) {
-        if (polled(progress) && !progress.asking && now >= progress.next) {
-            progress.asking = true;
+        if (polled(progress) && !progress.report_pending && now >= progress.next) {
+            progress.report_pending = true;
             actions.reports.push_back(name);
         }
         if (progress.stage != Stage::announced || now < progress.next) continue;
@@ -73,7 +74,7 @@
         progress.ordered_at = progress.heard_at = now;
         actions.orders.push_back({name, target, progress.orders});
     }
-    renew_silent(now);
+    reorder_silent(now);
     if (may_order) announce(at_once, now);
     note(now);
     actions.notes = std::exchange(notes, {});
@@ -110,7 +111,7 @@
         if (best == nullptr) return;
         auto& progress = best->second;
         progress.stage = Stage::announced;
-        progress.told = true;
+        progress.published = true;
         progress.wanted = target;
         progress.announced_at = now;
         progress.next = now + times.announce;
@@ -120,10 +121,10 @@
     }
 }
 
-auto VersionsRollout::give_up(ReplicaProgress& progress, Microseconds now) -> void {
+auto VersionsRollout::back_off(ReplicaProgress& progress, Microseconds now) -> void {
     progress.stage = Stage::idle;
     auto const doublings = progress.overdue ? 0 : std::min(progress.failures, 6);
-    progress.next = now + std::min(times.longest_pause, times.least_pause << doublings);
+    progress.next = now + std::min(times.max_backoff, times.min_backoff << doublings);
     ++progress.failures;
 }
 
@@ -131,11 +132,11 @@
     auto const found = by_replica.find(replica);
     if (found == by_replica.end() || found->second.stage != Stage::ordering) return;
     auto& progress = found->second;
-    progress.doubted = end == OrderEnd::conflict;
+    progress.conflicted = end == OrderEnd::conflict;
     switch (end) {
         case OrderEnd::taken:
             progress.stage = Stage::loading;
-            progress.next = progress.ordered_at + (quickest == 0 ? times.first_poll : quickest * 9 / 10);
+            progress.next = progress.ordered_at + (fastest_load == 0 ? times.first_poll : fastest_load * 9 / 10);
             progress.heard_at = progress.next;  // not silent before its first poll
             break;
         case OrderEnd::holds:
@@ -155,7 +156,7 @@
             break;
         case OrderEnd::elsewhere:
         case OrderEnd::refused:
-        case OrderEnd::unreachable: give_up(progress, now); break;
+        case OrderEnd::unreachable: back_off(progress, now); break;
         case OrderEnd::not_sent:
             progress.stage = Stage::idle;
             progress.next = now;
@@ -169,7 +170,7 @@
     auto const found = by_replica.find(replica);
     if (found == by_replica.end()) return;
     auto& progress = found->second;
-    progress.asking = false;
+    progress.report_pending = false;
     if (!report) {
         progress.next = now + (occupies_slot(progress, now) ? times.poll : one_second);
         return;
@@ -181,16 +182,16 @@
     if (progress.version >= progress.wanted && !report->busy) {
         auto const took = now - progress.ordered_at;
         if (progress.stage == Stage::loading && progress.ordered_at != 0)
-            quickest = quickest == 0 ? took : std::min(quickest, took);
+            fastest_load = fastest_load == 0 ? took : std::min(fastest_load, took);
         loaded(replica, progress, now);
     } else if (report->busy) {
         progress.stage = Stage::loading;
-        progress.doubted = false;
+        progress.conflicted = false;
         progress.next = now + times.poll;
-    } else if (asked_at - progress.ordered_at < (progress.doubted ? times.settle : times.believe)) {
+    } else if (asked_at - progress.ordered_at < (progress.conflicted ? times.settle : times.order_visible_after)) {
         progress.next = now + times.poll;  // the report may be from before the order
     } else {
-        give_up(progress, now);  // not taken, or failed: ordered again with the count just reported
+        back_off(progress, now);  // not taken, or failed: ordered again with the count just reported
     }
 }
 
@@ -199,7 +200,7 @@
     auto& progress = by_replica[replica.name];
     progress.service = replica.service;
     progress.version = std::max({progress.version, replica.version, version});
-    progress.told = true;
+    progress.published = true;
     if (!loading || progress.stage != Stage::idle) return;
     progress.stage = Stage::unsure;
     progress.wanted = std::max(target, progress.version + 1);
@@ -209,7 +210,7 @@
 auto VersionsRollout::words(std::string const& model, WeightsWords& into) const -> void {
     for (auto const& [name, progress] : by_replica) {
         auto const closed = progress.stage != Stage::idle || progress.overdue;
-        if (!progress.told && !closed && progress.version <= progress.listed) continue;
+        if (!progress.published && !closed && progress.version <= progress.listed) continue;
         auto& word = into[name];
         word.versions[model] = progress.version;
         word.loading = word.loading || closed;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -63,15 +63,17 @@
     Microseconds announce = 50 * one_millisecond;     // from publishing a load to its order, so that nodes know first
     Microseconds first_poll = 800 * one_millisecond;  // after an order, until a load was measured
     Microseconds poll = 200 * one_millisecond;
-    Microseconds settle = 300 * one_millisecond;  // reports may describe a state that is so old
-    Microseconds believe = one_second;            // a report requested so long after an order reflects it
-    Microseconds silence = 2 * one_second;        // a replica without a report for so long occupies no load slot
-    Microseconds doubt = 600 * one_millisecond;   // the same after a 409, when none of our orders is in progress
-    Microseconds renew = 4 * one_second;  // until an overdue, silent replica with unknown order result is reordered
-    Microseconds least_pause = 500 * one_millisecond;
-    Microseconds longest_pause = 4 * one_second;
-    Microseconds shown = 5 * one_second;  // a state stays published so long after the list shows the same
-    Microseconds bound = 0;               // target weights serve everywhere by then; 0: no bound
+    Microseconds settle = 300 * one_millisecond;    // reports may describe a state that is so old
+    Microseconds order_visible_after = one_second;  // a report requested so long after an order reflects it
+    Microseconds silence = 2 * one_second;          // a replica without a report for so long occupies no load slot
+    Microseconds conflict_silence =
+        600 * one_millisecond;  // the same after a 409, when none of our orders is in progress
+    Microseconds reorder_after =
+        4 * one_second;  // until an overdue, silent replica with unknown order result is reordered
+    Microseconds min_backoff = 500 * one_millisecond;
+    Microseconds max_backoff = 4 * one_second;
+    Microseconds unpublish_after = 5 * one_second;  // a state stays published so long after the list shows the same
+    Microseconds bound = 0;                         // target weights serve everywhere by then; 0: no bound
     Microseconds margin = weights_margin;
 };
 
@@ -86,24 +88,24 @@
         std::int64_t version = 0;  // newest that the replica is known to have
         std::int64_t wanted = 0;   // of the order in progress
         std::optional<std::uint64_t> orders;
-        bool asking = false;
-        bool told = false;     // its state is published
-        bool doubted = false;  // the last order was answered 409
-        bool silent = false;   // logged as silent
-        bool overdue = false;  // gets no new requests until it has loaded
+        bool report_pending = false;
+        bool published = false;   // its state is published
+        bool conflicted = false;  // the last order was answered 409
+        bool silent = false;      // logged as silent
+        bool overdue = false;     // gets no new requests until it has loaded
         int failures = 0;
         Microseconds next = 0;  // when the next action is due
         Microseconds announced_at = 0;
         Microseconds ordered_at = 0;
         Microseconds heard_at = 0;
-        Microseconds shown_at = 0;
+        Microseconds listed_since = 0;
     };
     RolloutTimes times;
     NamedVersions named;
     std::int64_t target = 0;
     std::uint64_t fence = 0;
     std::uint64_t stopped_fence = 0;  // a replica has seen a later leader than this fence: no more orders
-    Microseconds quickest = 0;        // fastest load, measured from order to report
+    Microseconds fastest_load = 0;    // fastest load, measured from order to report
     Microseconds slot_time = 0;       // measured time that a replica occupies a load slot, smoothed
     std::map<std::string, ReplicaProgress> by_replica;
 
@@ -129,12 +131,12 @@
     auto loaded(std::string const& name, ReplicaProgress& progress, Microseconds now) -> void;
     auto take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void;
     auto announce(std::size_t at_once, Microseconds now) -> void;
-    auto give_up(ReplicaProgress& progress, Microseconds now) -> void;
+    auto back_off(ReplicaProgress& progress, Microseconds now) -> void;
     auto occupies_slot(ReplicaProgress const& progress, Microseconds now) const -> bool;
     // Whether loading one more replica would leave none that serves, in a service with no more replicas than load
     // slots.
     auto is_last(std::string_view service, std::size_t least, Microseconds now) const -> bool;
-    auto renew_silent(Microseconds now) -> void;
+    auto reorder_silent(Microseconds now) -> void;
     auto load_slots(std::string_view service, std::size_t least, Microseconds now) const -> std::size_t;
 };
 
