--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -40,10 +40,10 @@
     return named;
 }
 
-auto take_words(Snapshot& fresh, std::string const& text) -> void {
-    for (auto const& [replica, word] : read_words(text))
+auto apply_published_states(Snapshot& fresh, std::string const& text) -> void {
+    for (auto const& [replica, state] : read_words(text))
         if (auto const found = fresh.replica_weights.find(replica); found != fresh.replica_weights.end())
-            apply_word(found->second, word);
+            apply_word(found->second, state);
 }
 
 }  // namespace
@@ -51,10 +51,10 @@
 auto read_words(std::string const& text) -> WeightsWords {
     auto const parsed = text.empty() ? std::nullopt : parse_json(text);
     if (!parsed) return {};
-    WeightsWords words;
+    WeightsWords states;
     Problems problems;
-    read_json(*parsed, words, "", problems);
-    return problems.empty() ? words : WeightsWords();
+    read_json(*parsed, states, "", problems);
+    return problems.empty() ? states : WeightsWords();
 }
 
 auto make_snapshot(Control const& control, Snapshot const& old, DocumentForm const* form) -> std::shared_ptr<Snapshot> {
@@ -78,7 +78,7 @@
     fresh->named = named_here(control.namings, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        take_words(*fresh, control.news[partition].live);
+        apply_published_states(*fresh, control.news[partition].live);
     auto const resting = read_object(control.news[resting_partition].copy.document);
     if (auto const* names = resting.if_contains("resting"); names != nullptr && names->is_array())
         for (auto const& name : names->as_array())
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -207,13 +207,13 @@
     progress.ordered_at = progress.heard_at = progress.next = now;
 }
 
-auto VersionsRollout::words(std::string const& model, WeightsWords& into) const -> void {
+auto VersionsRollout::add_states(std::string const& model, WeightsWords& into) const -> void {
     for (auto const& [name, progress] : by_replica) {
         auto const closed = progress.stage != Stage::idle || progress.overdue;
         if (!progress.published && !closed && progress.version <= progress.listed) continue;
-        auto& word = into[name];
-        word.versions[model] = progress.version;
-        word.loading = word.loading || closed;
+        auto& state = into[name];
+        state.versions[model] = progress.version;
+        state.loading = state.loading || closed;
     }
 }
 
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -119,7 +119,7 @@
     // Takes the state that a former leader published for a replica: an order may be in progress there.
     auto adopt(ListedReplica const& replica, std::int64_t version, bool loading, Microseconds now) -> void;
     // Adds the state of each replica for which the list alone is not enough.
-    auto words(std::string const& model, WeightsWords& into) const -> void;
+    auto add_states(std::string const& model, WeightsWords& into) const -> void;
     auto under_way() const -> bool;
     // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
     auto late(ReplicaProgress const& progress, Microseconds now) const -> bool;
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 namespace {
-constexpr auto no_words = std::string_view("{}");
+constexpr auto no_states = std::string_view("{}");
 
 auto listed_for(Snapshot const& snapshot, int partition, std::string const& model) -> std::vector<ListedReplica> {
     std::vector<ListedReplica> replicas;
@@ -66,22 +66,23 @@
     for (auto const& entry : snapshot.list.replicas)
         if (ordering_partition(entry) == partition)
             for (auto const& [model, version] : entry.weights) models.insert(model);
-    auto told = WeightsWords();
-    auto words = WeightsWords();
-    auto read_told = false;
+    auto published_states = WeightsWords();
+    auto states = WeightsWords();
+    auto have_published_states = false;
     auto behind = false;
     for (auto const& model : models) {
         auto const replicas = listed_for(snapshot, partition, model);
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
         if (fresh) {  // continue what a former leader had in progress
-            if (!read_told) told = read_words(news.live);
-            read_told = true;
+            if (!have_published_states) published_states = read_words(news.live);
+            have_published_states = true;
             rollout.target = snapshot.target_version(model);
             for (auto const& replica : replicas)
-                if (auto const word = told.find(replica.name); word != told.end())
-                    if (auto const version = word->second.versions.find(model); version != word->second.versions.end())
-                        rollout.adopt(replica, version->second, word->second.loading, now);
+                if (auto const state = published_states.find(replica.name); state != published_states.end())
+                    if (auto const version = state->second.versions.find(model);
+                        version != state->second.versions.end())
+                        rollout.adopt(replica, version->second, state->second.loading, now);
         }
         rollout.times.bound = bound;
         rollout.named.merge(named[model]);
@@ -94,7 +95,7 @@
         for (auto const& replica : due.reports)
             actions.reports.push_back({replica, address_of(snapshot, replica), model, partition});
         for (auto const& note : due.notes) actions.notes.emplace_back(model, note);
-        rollout.words(model, words);
+        rollout.add_states(model, states);
         behind = behind || rollout.under_way();
     }
     actions.under_way = actions.under_way || behind;
@@ -104,9 +105,9 @@
                                                                                     : OrdersHeld::no;
     note_held(partition, behind ? reason : OrdersHeld::no, actions);
     if (!leased) return;
-    auto text = json::serialize(write_json(words));
-    if (text != news.live && !(text == no_words && news.live.empty()))
-        actions.words.emplace_back(partition, std::move(text));
+    auto text = json::serialize(write_json(states));
+    if (text != news.live && !(text == no_states && news.live.empty()))
+        actions.live_texts.emplace_back(partition, std::move(text));
 }
 
 auto WeightsDuty::note_held(int partition, OrdersHeld reason, DutyActions& actions) -> void {
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -28,7 +28,7 @@
 struct DutyActions {
     std::vector<DutyOrder> orders;
     std::vector<DutyReport> reports;
-    std::vector<std::pair<int, std::string>> words;          // partition, and its new live text
+    std::vector<std::pair<int, std::string>> live_texts;     // partition, and its new live text
     std::vector<std::pair<std::string, RolloutNote>> notes;  // by model
     std::vector<std::pair<int, OrdersHeld>> held;            // by partition, if it changed
     bool under_way = false;
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -61,7 +61,7 @@
     counters.weights_behind = figures.behind;
     counters.weights_overdue = figures.overdue;
     counters.weights_oldest = static_cast<std::uint64_t>(figures.oldest / one_millisecond);
-    for (auto const& [partition, text] : due.words) act_on(control.live_read(partition, now, now, text));
+    for (auto const& [partition, text] : due.live_texts) act_on(control.live_read(partition, now, now, text));
     for (auto& order : due.orders)
         spawn_connection(counters, asio::make_strand(context), send_duty_order(std::move(order)));
     for (auto& report : due.reports)
--- a/tests/duty_helpers.hpp
+++ b/tests/duty_helpers.hpp
@@ -51,7 +51,7 @@
             auto const now = world.local(node);
             auto due = duties[index].step(node.control, snapshot_of(node), now);
             for (auto const& [partition, reason] : due.held) held[index].push_back(reason);
-            for (auto const& [partition, text] : due.words)
+            for (auto const& [partition, text] : due.live_texts)
                 world.act(index, node.control.live_read(partition, now, now, text));
             for (auto const& order : due.orders) {
                 if (!may_order(node.control, order.partition, order.fence, now)) continue;
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -101,13 +101,13 @@
     // How many get new requests though their weights are older than what has to
     // serve everywhere: nodes send where no word forbids it.
     auto open_after(Microseconds time) const -> int {
-        auto words = WeightsWords();
-        rollout.words("m", words);
+        auto states = WeightsWords();
+        rollout.add_states("m", states);
         auto open = 0;
         for (auto const& [name, replica] : replicas) {
             auto const next = named_at.upper_bound(replica.version);
             if (next == named_at.end() || now - next->second < time || !replica.listed) continue;
-            open += words.contains(name) && words.at(name).loading ? 0 : 1;
+            open += states.contains(name) && states.at(name).loading ? 0 : 1;
         }
         return open;
     }
--- a/tests/small_service_test.cpp
+++ b/tests/small_service_test.cpp
@@ -12,11 +12,11 @@
 
 // How many replicas are sent new requests now.
 auto serving(Pool const& pool) -> int {
-    auto words = WeightsWords();
-    pool.rollout.words("m", words);
+    auto states = WeightsWords();
+    pool.rollout.add_states("m", states);
     auto count = 0;
     for (auto const& [name, replica] : pool.replicas)
-        count += replica.silent || (words.contains(name) && words.at(name).loading) ? 0 : 1;
+        count += replica.silent || (states.contains(name) && states.at(name).loading) ? 0 : 1;
     return count;
 }
 
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -30,20 +30,20 @@
     auto pool = Pool(9);
     REQUIRE(pool.run_until([&] { return pool.orders >= 4; }, 5 * one_second));
     auto const before = pool.orders;
-    auto words = WeightsWords();
-    pool.rollout.words("m", words);
+    auto states = WeightsWords();
+    pool.rollout.add_states("m", states);
     pool.rollout = VersionsRollout();
     pool.rollout.target = 2;
-    for (auto const& [name, word] : words)
+    for (auto const& [name, state] : states)
         pool.rollout.adopt(
-            {name, "service", "", pool.listed[name].second, false}, word.versions.at("m"), word.loading, pool.now);
+            {name, "service", "", pool.listed[name].second, false}, state.versions.at("m"), state.loading, pool.now);
     pool.fence = 5;
     pool.may_order = false;
     pool.run(3'200 * one_millisecond);
     CHECK(pool.orders == before);
-    words.clear();
-    pool.rollout.words("m", words);
-    for (auto const& [name, word] : words) CHECK_FALSE(word.loading);  // all done meanwhile, and known
+    states.clear();
+    pool.rollout.add_states("m", states);
+    for (auto const& [name, state] : states) CHECK_FALSE(state.loading);  // all done meanwhile, and known
     pool.may_order = true;
     REQUIRE(pool.run_until([&] { return pool.all_hold(2); }, 8 * one_second));
     CHECK(pool.orders == 9);
--- a/tests/versions_rollout_test.cpp
+++ b/tests/versions_rollout_test.cpp
@@ -22,9 +22,9 @@
     pool.run(20 * one_second);
     CHECK(pool.reports == reports);  // nobody is asked while no order is under way
     CHECK_FALSE(pool.rollout.under_way());
-    auto words = WeightsWords();
-    pool.rollout.words("m", words);
-    CHECK(words.empty());  // the list tells it all again
+    auto states = WeightsWords();
+    pool.rollout.add_states("m", states);
+    CHECK(states.empty());  // the list tells it all again
 }
 
 TEST_CASE("a replica is said to be loading before it is ordered, and until a report says otherwise") {
@@ -32,9 +32,9 @@
     auto said_at = Microseconds{0};
     auto ordered_at = Microseconds{0};
     auto const loading = [&] {
-        auto words = WeightsWords();
-        pool.rollout.words("m", words);
-        return words.contains("r10") && words["r10"].loading;
+        auto states = WeightsWords();
+        pool.rollout.add_states("m", states);
+        return states.contains("r10") && states["r10"].loading;
     };
     pool.bend = [&](auto const&, auto end) { return ordered_at = pool.now, end; };
     REQUIRE(pool.run_until(loading, one_second));
@@ -43,9 +43,9 @@
     CHECK(ordered_at - said_at >= 50 * one_millisecond);
     REQUIRE(pool.run_until([&] { return !loading(); }, 5 * one_second));
     CHECK(pool.replicas["r10"].version == 2);
-    auto words = WeightsWords();
-    pool.rollout.words("m", words);
-    CHECK(words["r10"].versions["m"] == 2);  // told before the list shows it
+    auto states = WeightsWords();
+    pool.rollout.add_states("m", states);
+    CHECK(states["r10"].versions["m"] == 2);  // told before the list shows it
 }
 
 TEST_CASE("an order without an answer is looked after by report, not repeated blindly") {
