--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -10,7 +10,7 @@
 using Stage = VersionsRollout::ReplicaProgress::Stage;
 }  // namespace
 
-auto VersionsRollout::late(ReplicaProgress const& progress, Microseconds now) const -> bool {
+auto VersionsRollout::is_overdue(ReplicaProgress const& progress, Microseconds now) const -> bool {
     auto const since = named.named_after(progress.version);
     return times.bound > 0 && since && now - *since >= times.bound - times.margin;
 }
@@ -26,7 +26,7 @@
         if (progress.service != service || progress.drain) continue;
         ++replicas;
         auto const since = named.named_after(progress.version);
-        if (since && !late(progress, now))
+        if (since && !is_overdue(progress, now))
             behind.emplace(*since + times.bound - times.margin - now, progress.stage == Stage::idle ? 1.0 : 0.5);
     }
     auto needed = 0.0;
@@ -47,7 +47,7 @@
     for (auto const& [name, progress] : by_replica) {
         if (progress.service != service || progress.drain) continue;
         ++replicas;
-        if (progress.stage == Stage::idle) serving += late(progress, now) ? 0 : 1;
+        if (progress.stage == Stage::idle) serving += is_overdue(progress, now) ? 0 : 1;
         else away += times.bound > 0 || occupies_slot(progress, now) ? 1 : 0;
     }
     return replicas <= least && serving <= 1 && away > 0;
@@ -57,7 +57,8 @@
 // without an expected count; a replica that holds or is loading the version does not load it twice.
 auto VersionsRollout::reorder_silent(Microseconds now) -> void {
     for (auto& [name, progress] : by_replica) {
-        if (progress.stage != Stage::unsure || !late(progress, now) || now - progress.heard_at < times.reorder_after)
+        if (progress.stage != Stage::unsure || !is_overdue(progress, now) ||
+            now - progress.heard_at < times.reorder_after)
             continue;
         progress.stage = Stage::idle;
         progress.orders.reset();
@@ -72,7 +73,7 @@
         if (silent && !progress.silent)
             notes.push_back({RolloutNote::Kind::silent, name, progress.version, now - progress.ordered_at});
         progress.silent = silent;
-        auto const overdue = late(progress, now);
+        auto const overdue = is_overdue(progress, now);
         if (overdue && !progress.overdue)
             notes.push_back(
                 {RolloutNote::Kind::overdue, name, progress.version, now - *named.named_after(progress.version)});
@@ -83,7 +84,7 @@
 auto VersionsRollout::figures(Microseconds now) const -> RolloutFigures {
     RolloutFigures figures;
     for (auto const& [name, progress] : by_replica) {
-        if (late(progress, now)) ++figures.overdue;
+        if (is_overdue(progress, now)) ++figures.overdue;
         if (progress.drain || progress.version >= target) continue;
         ++figures.behind;
         if (auto const since = named.named_after(progress.version))
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -65,7 +65,7 @@
             actions.reports.push_back(name);
         }
         if (progress.stage != Stage::announced || now < progress.next) continue;
-        if (!may_order || progress.version >= target || (progress.drain && !late(progress, now))) {
+        if (!may_order || progress.version >= target || (progress.drain && !is_overdue(progress, now))) {
             progress.stage = Stage::idle;
             continue;
         }
@@ -103,7 +103,7 @@
         for (auto& item : by_replica) {
             auto const& progress = item.second;
             if (progress.stage != Stage::idle || progress.version >= target || now < progress.next) continue;
-            auto const paced = !late(progress, now);
+            auto const paced = !is_overdue(progress, now);
             if (paced && (progress.drain || busy[progress.service] >= allowed[progress.service])) continue;
             if (paced && is_last(progress.service, at_once, now)) continue;
             if (best == nullptr || first(progress) < first(best->second)) best = &item;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -122,7 +122,7 @@
     auto add_states(std::string const& model, WeightsWords& into) const -> void;
     auto under_way() const -> bool;
     // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
-    auto late(ReplicaProgress const& progress, Microseconds now) const -> bool;
+    auto is_overdue(ReplicaProgress const& progress, Microseconds now) const -> bool;
     auto figures(Microseconds now) const -> RolloutFigures;
 
    private:
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -31,30 +31,30 @@
     auto take_named(std::map<std::string, NamedVersions> const& known) -> void {
         for (auto const& [model, versions] : known) named[model].merge(versions);
     }
-    auto late_from(std::string const& model, std::int64_t version) const -> Microseconds {
+    auto overdue_from(std::string const& model, std::int64_t version) const -> Microseconds {
         auto const found = named.find(model);
         auto const since = found == named.end() ? std::nullopt : found->second.named_after(version);
         return bound > 0 && since ? *since + bound - weights_margin : never;
     }
-    auto late(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
-        return now >= late_from(model, version);
+    auto is_overdue(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
+        return now >= overdue_from(model, version);
     }
     // The target version is not known yet and `patience` has not run out.
     auto unjudged(std::string const& model, int partition, Microseconds now) -> bool {
         if (heard[static_cast<std::size_t>(partition)]) return false;
         return now - unheard_since.try_emplace(model, now).first->second < patience;
     }
-    auto late_from(ReplicaWeights const& held) const -> Microseconds {
+    auto overdue_from(ReplicaWeights const& held) const -> Microseconds {
         auto earliest = never;
-        for (auto const& [model, version] : held.versions) earliest = std::min(earliest, late_from(model, version));
+        for (auto const& [model, version] : held.versions) earliest = std::min(earliest, overdue_from(model, version));
         return earliest;
     }
-    auto late(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= late_from(held); }
+    auto is_overdue(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= overdue_from(held); }
     // Replicas are checked when their state changes, and again at `judge_at`.
     auto plan_judging(WeightsWords const& replicas, Microseconds now) -> void {
         judge_at = never;
         for (auto const& [name, held] : replicas)
-            if (auto const from = late_from(held); from > now) judge_at = std::min(judge_at, from);
+            if (auto const from = overdue_from(held); from > now) judge_at = std::min(judge_at, from);
     }
     // The targets of a partition, or their absence, are known once it had a proof.
     static auto heard_by(Control const& control) -> std::bitset<partition_count> {
@@ -64,8 +64,8 @@
         return partitions;
     }
     // True if the replica was not withheld before, so that it is logged once.
-    auto withhold(std::string const& replica, bool is_late) -> bool {
-        if (is_late) return withheld.insert(replica).second;
+    auto withhold(std::string const& replica, bool overdue) -> bool {
+        if (overdue) return withheld.insert(replica).second;
         withheld.erase(replica);
         return false;
     }
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -70,13 +70,13 @@
     for (auto const& [name, held] : fresh.replica_weights) {
         auto version = std::int64_t{0};  // one model a service: the greatest number there is
         for (auto const& [model, number] : held.versions) version = std::max(version, number);
-        auto const late = weights_guard.late(held, now);
+        auto const overdue = weights_guard.is_overdue(held, now);
         auto const unjudged = std::any_of(held.versions.begin(), held.versions.end(), [&](auto const& item) {
             return weights_guard.unjudged(item.first, partition_of_service(item.first), now);
         });
-        if (weights_guard.withhold(name, late))  // the leader's log tells why it takes so long
+        if (weights_guard.withhold(name, overdue))  // the leader's log tells why it takes so long
             write_log(Level::warning, "weights-withheld", fields("replica", name, "version", version));
-        auto const closed = held.loading || late || unjudged;
+        auto const closed = held.loading || overdue || unjudged;
         table.granting.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
     }
     weights_guard.plan_judging(fresh.replica_weights, now);
--- a/tests/version_late_test.cpp
+++ b/tests/version_late_test.cpp
@@ -20,23 +20,23 @@
 
 TEST_CASE("near the bound of named weights, replicas of older ones get nothing new") {
     auto guard = guard_of_twelve_seconds();
-    CHECK_FALSE(guard.late("m", 1, known_at + 11 * one_second));  // nothing known since when
+    CHECK_FALSE(guard.is_overdue("m", 1, known_at + 11 * one_second));  // nothing known since when
     guard.take_targets({{"m", 2}}, known_at);
-    CHECK_FALSE(guard.late("m", 1, known_at + 9 * one_second));
-    CHECK(guard.late("m", 1, known_at + 10 * one_second));
-    CHECK(guard.late("m", 1, known_at + 60 * one_second));
-    CHECK_FALSE(guard.late("m", 2, known_at + 60 * one_second));
-    CHECK_FALSE(guard.late("other", 1, known_at + 60 * one_second));
+    CHECK_FALSE(guard.is_overdue("m", 1, known_at + 9 * one_second));
+    CHECK(guard.is_overdue("m", 1, known_at + 10 * one_second));
+    CHECK(guard.is_overdue("m", 1, known_at + 60 * one_second));
+    CHECK_FALSE(guard.is_overdue("m", 2, known_at + 60 * one_second));
+    CHECK_FALSE(guard.is_overdue("other", 1, known_at + 60 * one_second));
 }
 
 TEST_CASE("a version named later gives older weights no more time") {
     auto guard = guard_of_twelve_seconds();
     guard.take_targets({{"m", 2}}, known_at);
     guard.take_targets({{"m", 3}}, known_at + 5 * one_second);
-    CHECK_FALSE(guard.late("m", 1, known_at + 9 * one_second));
-    CHECK(guard.late("m", 1, known_at + 10 * one_second));
-    CHECK_FALSE(guard.late("m", 2, known_at + 14 * one_second));
-    CHECK(guard.late("m", 2, known_at + 15 * one_second));
+    CHECK_FALSE(guard.is_overdue("m", 1, known_at + 9 * one_second));
+    CHECK(guard.is_overdue("m", 1, known_at + 10 * one_second));
+    CHECK_FALSE(guard.is_overdue("m", 2, known_at + 14 * one_second));
+    CHECK(guard.is_overdue("m", 2, known_at + 15 * one_second));
 }
 
 TEST_CASE("a replica that is withheld is told of once, and again after it got something in between") {
@@ -55,13 +55,13 @@
     auto guard = guard_of_twelve_seconds();
     guard.take_targets({{"m", 2}}, known_at);
     guard.take_targets({{"m", 3}}, known_at + 2 * one_second);
-    auto const late_at = known_at + guard.bound - weights_margin;
+    auto const overdue_at = known_at + guard.bound - weights_margin;
     auto const replicas = WeightsWords{{"a", {{{"m", 1}}}}, {"b", {{{"m", 2}}}}, {"c", {{{"m", 3}}}}};
     guard.plan_judging(replicas, known_at + 3 * one_second);
-    CHECK(guard.judge_at == late_at);
-    guard.plan_judging(replicas, late_at);
-    CHECK(guard.judge_at == late_at + 2 * one_second);
-    guard.plan_judging(replicas, late_at + 2 * one_second);
+    CHECK(guard.judge_at == overdue_at);
+    guard.plan_judging(replicas, overdue_at);
+    CHECK(guard.judge_at == overdue_at + 2 * one_second);
+    guard.plan_judging(replicas, overdue_at + 2 * one_second);
     CHECK(guard.judge_at == WeightsGuard::never);
     guard.bound = 0;
     guard.plan_judging(replicas, known_at);
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -116,5 +116,5 @@
     auto guard = WeightsGuard();
     guard.bound = bound;
     guard.take_named(snapshot_of(node).named);
-    CHECK_FALSE(guard.late(model, 1, world->local(node)));
+    CHECK_FALSE(guard.is_overdue(model, 1, world->local(node)));
 }
