--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -81,16 +81,16 @@
     }
 }
 
-auto VersionsRollout::figures(Microseconds now) const -> RolloutFigures {
-    RolloutFigures figures;
+auto VersionsRollout::metrics(Microseconds now) const -> RolloutMetrics {
+    RolloutMetrics metrics;
     for (auto const& [name, progress] : by_replica) {
-        if (is_overdue(progress, now)) ++figures.overdue;
+        if (is_overdue(progress, now)) ++metrics.overdue;
         if (progress.drain || progress.version >= target) continue;
-        ++figures.behind;
+        ++metrics.behind;
         if (auto const since = named.named_after(progress.version))
-            figures.oldest = std::max(figures.oldest, now - *since);
+            metrics.oldest = std::max(metrics.oldest, now - *since);
     }
-    return figures;
+    return metrics;
 }
 
 auto VersionsRollout::loaded(std::string const& name, ReplicaProgress& progress, Microseconds now) -> void {
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -54,7 +54,7 @@
     std::vector<std::string> reports;  // replicas to poll now
     std::vector<RolloutNote> notes;
 };
-struct RolloutFigures {
+struct RolloutMetrics {
     std::size_t behind = 0;   // replicas with older weights, without draining ones
     std::size_t overdue = 0;  // of all replicas, those that get no requests because of older weights
     Microseconds oldest = 0;  // time since the oldest target that is not loaded everywhere was set
@@ -123,7 +123,7 @@
     auto under_way() const -> bool;
     // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
     auto is_overdue(ReplicaProgress const& progress, Microseconds now) const -> bool;
-    auto figures(Microseconds now) const -> RolloutFigures;
+    auto metrics(Microseconds now) const -> RolloutMetrics;
 
    private:
     std::vector<RolloutNote> notes;  // since the last step
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -117,13 +117,13 @@
     actions.held.emplace_back(partition, reason);
 }
 
-auto WeightsDuty::figures(Microseconds now) const -> RolloutFigures {
-    RolloutFigures sum;
+auto WeightsDuty::metrics(Microseconds now) const -> RolloutMetrics {
+    RolloutMetrics sum;
     for (auto const& [place, rollout] : rollouts) {
-        auto const figures = rollout.figures(now);
-        sum.behind += figures.behind;
-        sum.overdue += figures.overdue;
-        sum.oldest = std::max(sum.oldest, figures.oldest);
+        auto const metrics = rollout.metrics(now);
+        sum.behind += metrics.behind;
+        sum.overdue += metrics.overdue;
+        sum.oldest = std::max(sum.oldest, metrics.oldest);
     }
     return sum;
 }
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -57,10 +57,10 @@
     auto due = weights_duty.step(control, *snapshot.load(), now);
     weights_under_way = due.under_way;
     tell_notes(due);
-    auto const figures = weights_duty.figures(now);
-    counters.weights_behind = figures.behind;
-    counters.weights_overdue = figures.overdue;
-    counters.weights_oldest = static_cast<std::uint64_t>(figures.oldest / one_millisecond);
+    auto const metrics = weights_duty.metrics(now);
+    counters.weights_behind = metrics.behind;
+    counters.weights_overdue = metrics.overdue;
+    counters.weights_oldest = static_cast<std::uint64_t>(metrics.oldest / one_millisecond);
     for (auto const& [partition, text] : due.live_texts) act_on(control.live_read(partition, now, now, text));
     for (auto& order : due.orders)
         spawn_connection(counters, asio::make_strand(context), send_duty_order(std::move(order)));
