--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -128,36 +128,36 @@
     ++progress.failures;
 }
 
-auto VersionsRollout::order_ended(std::string const& replica, OrderEnd end, Microseconds now) -> void {
+auto VersionsRollout::order_ended(std::string const& replica, OrderResult end, Microseconds now) -> void {
     auto const found = by_replica.find(replica);
     if (found == by_replica.end() || found->second.stage != Stage::ordering) return;
     auto& progress = found->second;
-    progress.conflicted = end == OrderEnd::conflict;
+    progress.conflicted = end == OrderResult::conflict;
     switch (end) {
-        case OrderEnd::taken:
+        case OrderResult::accepted:
             progress.stage = Stage::loading;
             progress.next = progress.ordered_at + (fastest_load == 0 ? times.first_poll : fastest_load * 9 / 10);
             progress.heard_at = progress.next;  // not silent before its first poll
             break;
-        case OrderEnd::holds:
+        case OrderResult::already_held:
             progress.stage = Stage::idle;
             progress.version = std::max(progress.version, progress.wanted);
             progress.failures = 0;
             progress.next = now;
             break;
-        case OrderEnd::conflict:
-        case OrderEnd::unknown:
+        case OrderResult::conflict:
+        case OrderResult::unknown:
             progress.stage = Stage::unsure;
             progress.next = now + times.settle;
             break;
-        case OrderEnd::fenced:
+        case OrderResult::fenced:
             progress.stage = Stage::idle;
             stopped_fence = std::max(stopped_fence, fence);
             break;
-        case OrderEnd::elsewhere:
-        case OrderEnd::refused:
-        case OrderEnd::unreachable: back_off(progress, now); break;
-        case OrderEnd::not_sent:
+        case OrderResult::other_incarnation:
+        case OrderResult::refused:
+        case OrderResult::unreachable: back_off(progress, now); break;
+        case OrderResult::not_sent:
             progress.stage = Stage::idle;
             progress.next = now;
             break;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -8,18 +8,18 @@
 namespace dockrock {
 
 // The result of an order as far as its sender knows.
-enum class OrderEnd : int {
-    taken,        // accepted, in progress
-    holds,        // the replica already has the version
-    conflict,     // another order is in progress, or the count of orders differs
-    fenced,       // the replica has seen a later leader
-    elsewhere,    // the address belongs to another incarnation now
-    refused,      // rejected by the replica
-    unknown,      // no clear answer: it may have been accepted
-    unreachable,  // the order could not be sent
-    not_sent,     // held back by its sender, whose lease was uncertain
+enum class OrderResult : int {
+    accepted,           // accepted, in progress
+    already_held,       // the replica already has the version
+    conflict,           // another order is in progress, or the count of orders differs
+    fenced,             // the replica has seen a later leader
+    other_incarnation,  // the address belongs to another incarnation now
+    refused,            // rejected by the replica
+    unknown,            // no clear answer: it may have been accepted
+    unreachable,        // the order could not be sent
+    not_sent,           // held back by its sender, whose lease was uncertain
 };
-inline constexpr auto order_end_names = std::to_array<std::string_view>(
+inline constexpr auto order_result_names = std::to_array<std::string_view>(
     {"taken", "holds", "conflict", "fenced", "elsewhere", "refused", "unknown", "unreachable", "not-sent"});
 
 struct ListedReplica {
@@ -112,7 +112,7 @@
     auto step(
         std::int64_t wanted, std::uint64_t under_fence, bool may_order, std::size_t at_once,
         std::vector<ListedReplica> const& replicas, Microseconds now) -> RolloutActions;
-    auto order_ended(std::string const& replica, OrderEnd end, Microseconds now) -> void;
+    auto order_ended(std::string const& replica, OrderResult end, Microseconds now) -> void;
     auto reported(
         std::string const& replica, std::optional<ReportedWeights> const& report, Microseconds asked_at,
         Microseconds now) -> void;
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -128,7 +128,7 @@
     return sum;
 }
 
-auto WeightsDuty::order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void {
+auto WeightsDuty::order_ended(DutyOrder const& order, OrderResult end, Microseconds now) -> void {
     auto const found = rollouts.find({order.partition, order.model});
     if (found != rollouts.end()) found->second.order_ended(order.order.replica, end, now);
 }
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -44,7 +44,7 @@
     std::map<std::string, NamedVersions> named;  // by model, since the start of the process, as leader or not
 
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions;
-    auto order_ended(DutyOrder const& order, OrderEnd end, Microseconds now) -> void;
+    auto order_ended(DutyOrder const& order, OrderResult end, Microseconds now) -> void;
     auto reported(
         DutyReport const& asked, std::optional<ReportedWeights> const& report, Microseconds asked_at, Microseconds now)
         -> void;
--- a/source/process/counters.hpp
+++ b/source/process/counters.hpp
@@ -15,7 +15,7 @@
     std::atomic<std::uint64_t> claims_granted{0}, claims_seen{0}, claims_unknown{0}, calls{0}, orders{0}, list_reads{0},
         list_failures{0}, wakeups{0}, saves{0}, save_batches{0}, disk_failures{0}, disk_repairs{0};
     std::atomic<std::uint64_t> list_calls{0}, list_limited{0}, weights_reports{0}, weights_report_failures{0};
-    std::array<std::atomic<std::uint64_t>, order_end_names.size()> order_ends{};
+    std::array<std::atomic<std::uint64_t>, order_result_names.size()> order_results{};
     std::atomic<std::uint64_t> weights_behind{0}, weights_overdue{0}, weights_oldest{0}, weights_withheld{0};  // now
     std::atomic<std::uint64_t> weights_recalled{0};
     std::atomic<std::uint64_t> connections_failed{0};  // ended by an exception
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -16,16 +16,16 @@
 constexpr auto checks = 3;
 constexpr Microseconds holder_margin = 200 * one_millisecond;  // on top of the time between two holders' orders
 
-auto end_of(HttpAnswer const& answer) -> OrderEnd {
-    if (answer.end == CallEnd::not_sent) return OrderEnd::unreachable;
+auto end_of(HttpAnswer const& answer) -> OrderResult {
+    if (answer.end == CallEnd::not_sent) return OrderResult::unreachable;
     switch (answer.status) {
-        case 200: return OrderEnd::holds;
-        case 202: return OrderEnd::taken;
-        case 400: return OrderEnd::refused;
-        case 409: return OrderEnd::conflict;
-        case 412: return OrderEnd::fenced;
-        case 421: return OrderEnd::elsewhere;
-        default: return OrderEnd::unknown;
+        case 200: return OrderResult::already_held;
+        case 202: return OrderResult::accepted;
+        case 400: return OrderResult::refused;
+        case 409: return OrderResult::conflict;
+        case 412: return OrderResult::fenced;
+        case 421: return OrderResult::other_incarnation;
+        default: return OrderResult::unknown;
     }
 }
 
@@ -101,7 +101,7 @@
 
 auto Node::send_duty_order(DutyOrder order) -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
-    auto end = OrderEnd::unreachable;
+    auto end = OrderResult::unreachable;
     auto status = 0;
     if (co_await connection.open_to(order.address, connect_limit)) {
         // What was not read when the limit passes is not sent on by the system.
@@ -115,16 +115,16 @@
             status = answer.status;
             end = end_of(answer);
         } else {
-            end = OrderEnd::not_sent;
+            end = OrderResult::not_sent;
         }
     }
     connection.close();
-    ++counters.order_ends[static_cast<std::size_t>(end)];
+    ++counters.order_results[static_cast<std::size_t>(end)];
     write_log(
         Level::information, "weights-ordered",
         fields(
             "replica", order.order.replica, "model", order.model, "version", order.order.version, "fence", order.fence,
-            "status", status, "end", std::string(order_end_names[static_cast<std::size_t>(end)])));
+            "status", status, "end", std::string(order_result_names[static_cast<std::size_t>(end)])));
     in_control([this, order = std::move(order), end] {
         weights_duty.order_ended(order, end, clock_now());
         step_weights();
@@ -156,10 +156,10 @@
         text += "dockrock_" + name + " " + std::to_string(value) + "\n";
     };
     line("weights_orders_total", counters.orders.load());
-    for (auto index = std::size_t{0}; index < order_end_names.size(); ++index)
+    for (auto index = std::size_t{0}; index < order_result_names.size(); ++index)
         line(
-            "weights_order_ends_total{end=\"" + std::string(order_end_names[index]) + "\"}",
-            counters.order_ends[index].load());
+            "weights_order_ends_total{end=\"" + std::string(order_result_names[index]) + "\"}",
+            counters.order_results[index].load());
     line("weights_reports_total", counters.weights_reports.load());
     line("weights_report_failures_total", counters.weights_report_failures.load());
     line("weights_replicas_behind", counters.weights_behind.load());
--- a/tests/duty_helpers.hpp
+++ b/tests/duty_helpers.hpp
@@ -56,7 +56,7 @@
             for (auto const& order : due.orders) {
                 if (!may_order(node.control, order.partition, order.fence, now)) continue;
                 sent.push_back({world.now, index, order.fence});
-                duties[index].order_ended(order, OrderEnd::unknown, now);
+                duties[index].order_ended(order, OrderResult::unknown, now);
             }
             for (auto const& report : due.reports)
                 duties[index].reported(report, ReportedWeights{1, false, 0}, now, now);
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -40,8 +40,8 @@
     std::size_t most_at_once = 0;
     int orders = 0;
     int reports = 0;
-    std::function<OrderEnd(VersionOrder const&, OrderEnd)> bend;  // what becomes of an order's answer
-    std::set<std::string> lost;                                   // the next order to these is lost
+    std::function<OrderResult(VersionOrder const&, OrderResult)> bend;  // what becomes of an order's answer
+    std::set<std::string> lost;                                         // the next order to these is lost
 
     explicit Pool(int count) {
         for (auto number = 0; number < count; ++number)
@@ -52,14 +52,14 @@
         replica.version = replica.loading;
         replica.loading = 0;
     }
-    auto take(Replica& replica, VersionOrder const& order) -> OrderEnd {
-        if (replica.version == order.version && replica.loading == 0) return OrderEnd::holds;
-        if (replica.loading != 0 || (order.orders && *order.orders != replica.orders)) return OrderEnd::conflict;
+    auto take(Replica& replica, VersionOrder const& order) -> OrderResult {
+        if (replica.version == order.version && replica.loading == 0) return OrderResult::already_held;
+        if (replica.loading != 0 || (order.orders && *order.orders != replica.orders)) return OrderResult::conflict;
         replica.loading = order.version;
         replica.done_at = now + replica.load;
         ++replica.orders;
         ++replica.loads;
-        return OrderEnd::taken;
+        return OrderResult::accepted;
     }
     auto step() -> void {
         now += 25 * one_millisecond;
@@ -82,7 +82,7 @@
         for (auto const& order : due.orders) {
             ++orders;
             auto const dropped = lost.erase(order.replica) > 0;
-            auto end = dropped ? OrderEnd::unknown : take(replicas[order.replica], order);
+            auto end = dropped ? OrderResult::unknown : take(replicas[order.replica], order);
             if (bend) end = bend(order, end);
             rollout.order_ended(order.replica, end, now);
         }
--- a/tests/small_service_test.cpp
+++ b/tests/small_service_test.cpp
@@ -48,7 +48,7 @@
         first = order.replica;
         pool.replicas[first].silent = true;
         pool.replicas[first].loading = 0;  // it never came
-        return OrderEnd::unknown;
+        return OrderResult::unknown;
     };
     pool.name_version(2);
     for (auto const end = pool.now + bound - weights_margin - heard; pool.now < end; pool.step())
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -16,7 +16,7 @@
     auto pool = Pool(1);
     auto& replica = pool.replicas["r10"];
     replica.load = 2'400 * one_millisecond;
-    auto ends = std::vector<OrderEnd>();
+    auto ends = std::vector<OrderResult>();
     pool.bend = [&](auto const&, auto end) { return ends.push_back(end), end; };
     REQUIRE(pool.run_until([&] { return pool.all_hold(2); }, 5 * one_second));
     pool.run(3 * one_second);
@@ -25,7 +25,7 @@
     REQUIRE(pool.run_until([&] { return pool.listed["r10"].second == 3; }, 5 * one_second));
     pool.target = 4;
     REQUIRE(pool.run_until([&] { return pool.all_hold(4); }, 5 * one_second));
-    CHECK(ends == std::vector(3, OrderEnd::taken));
+    CHECK(ends == std::vector(3, OrderResult::accepted));
 }
 
 TEST_CASE("replicas of the oldest version get nothing new near its bound however many are named after it") {
@@ -115,12 +115,12 @@
     auto pool = Pool(6);
     auto refused = std::set<std::string>();
     pool.bend = [&](auto const& order, auto end) {
-        if (refused.size() == 3 || end != OrderEnd::taken) return end;
+        if (refused.size() == 3 || end != OrderResult::accepted) return end;
         auto& replica = pool.replicas[order.replica];
         replica.loading = 0;
         replica.silent = true;
         refused.insert(order.replica);
-        return OrderEnd::conflict;
+        return OrderResult::conflict;
     };
     REQUIRE(pool.run_until([&] { return refused.size() == 3; }, one_second));
     auto const others = [&] {
@@ -140,7 +140,7 @@
     auto now = 100 * one_second;
     step(2, now);
     REQUIRE(step(2, now += 50 * one_millisecond).orders.size() == 1);
-    rollout.order_ended("a", OrderEnd::taken, now);
+    rollout.order_ended("a", OrderResult::accepted, now);
     REQUIRE(step(2, now += one_second).reports.size() == 1);
     rollout.reported("a", ReportedWeights{2, true, 1}, now, now);
     for (auto count = 0; count < 6; ++count) CHECK(step(3, now += 25 * one_millisecond).orders.empty());
@@ -199,7 +199,7 @@
     auto counts = std::vector<std::optional<std::uint64_t>>();
     auto answered = true;
     pool.bend = [&](auto const& order, auto end) {
-        return counts.push_back(order.orders), answered ? end : OrderEnd::unknown;
+        return counts.push_back(order.orders), answered ? end : OrderResult::unknown;
     };
     SECTION("its order was lost") { pool.lost.insert("r10"); }
     SECTION("its order was taken, and no answer comes") {
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -9,7 +9,7 @@
     pool.bend = [&](auto const& order, auto end) {
         if (order.replica != "r10") return end;
         pool.replicas["r10"].loading = 0;
-        return ++tries, OrderEnd::unreachable;
+        return ++tries, OrderResult::unreachable;
     };
     pool.run(20 * one_second);
     CHECK(tries > 3);
--- a/tests/versions_rollout_test.cpp
+++ b/tests/versions_rollout_test.cpp
@@ -51,7 +51,7 @@
 TEST_CASE("an order without an answer is looked after by report, not repeated blindly") {
     auto pool = Pool(1);
     SECTION("it had been taken") {
-        pool.bend = [](auto const&, auto) { return OrderEnd::unknown; };
+        pool.bend = [](auto const&, auto) { return OrderResult::unknown; };
         REQUIRE(pool.run_until([&] { return pool.all_hold(2); }, 5 * one_second));
         pool.run(5 * one_second);
         CHECK(pool.orders == 1);
@@ -74,21 +74,21 @@
     replica.done_at = pool.now + 3 * one_second;
     replica.orders = 7;
     pool.target = 3;
-    auto ends = std::vector<OrderEnd>();
+    auto ends = std::vector<OrderResult>();
     pool.bend = [&](auto const&, auto end) { return ends.push_back(end), end; };
     REQUIRE(pool.run_until([&] { return pool.all_hold(3); }, 10 * one_second));
-    CHECK(ends == std::vector{OrderEnd::conflict, OrderEnd::taken});
+    CHECK(ends == std::vector{OrderResult::conflict, OrderResult::accepted});
     CHECK(replica.loads == 1);
 }
 
 TEST_CASE("a count of orders that differs is read again before the next order") {
     auto pool = Pool(1);
     pool.lost.insert("r10");
-    auto ends = std::vector<OrderEnd>();
+    auto ends = std::vector<OrderResult>();
     pool.bend = [&](auto const& order, auto end) {
         if (order.orders && pool.replicas["r10"].orders == 0) {  // it came late, after the report
             pool.replicas["r10"].orders = 1;
-            return ends.push_back(OrderEnd::conflict), pool.replicas["r10"].loading = 0, OrderEnd::conflict;
+            return ends.push_back(OrderResult::conflict), pool.replicas["r10"].loading = 0, OrderResult::conflict;
         }
         return ends.push_back(end), end;
     };
@@ -98,7 +98,7 @@
 
 TEST_CASE("a later holder's fence stops all orders, until the fence rises") {
     auto pool = Pool(6);
-    pool.bend = [](auto const&, auto end) { return end == OrderEnd::taken ? OrderEnd::fenced : end; };
+    pool.bend = [](auto const&, auto end) { return end == OrderResult::accepted ? OrderResult::fenced : end; };
     pool.run(6 * one_second);
     CHECK(pool.orders <= 3);
     pool.bend = nullptr;
