--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-auto VersionsRollout::metrics(Microseconds now) const -> RolloutMetrics {
+auto VersionsRollout::collect_metrics(Microseconds now) const -> RolloutMetrics {
     RolloutMetrics metrics;
     for (auto const& [name, progress] : by_replica) {
         if (is_overdue(progress, now)) ++metrics.overdue;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -9,7 +9,7 @@
 
 // The result of an order as far as its sender knows.
 enum class OrderResult : int {
-    accepted,           // accepted, in progress
+    accepted,           // in progress at the replica
     already_held,       // the replica already has the version
     conflict,           // another order is in progress, or the count of orders differs
     fenced,             // the replica has seen a later leader
@@ -123,7 +123,7 @@
     auto under_way() const -> bool;
     // Overdue: its weights are older than a target that soon has to serve everywhere. It gets no new requests.
     auto is_overdue(ReplicaProgress const& progress, Microseconds now) const -> bool;
-    auto metrics(Microseconds now) const -> RolloutMetrics;
+    auto collect_metrics(Microseconds now) const -> RolloutMetrics;
 
    private:
     std::vector<RolloutNote> notes;  // since the last step
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -117,10 +117,10 @@
     actions.held.emplace_back(partition, reason);
 }
 
-auto WeightsDuty::metrics(Microseconds now) const -> RolloutMetrics {
+auto WeightsDuty::collect_metrics(Microseconds now) const -> RolloutMetrics {
     RolloutMetrics sum;
     for (auto const& [place, rollout] : rollouts) {
-        auto const metrics = rollout.metrics(now);
+        auto const metrics = rollout.collect_metrics(now);
         sum.behind += metrics.behind;
         sum.overdue += metrics.overdue;
         sum.oldest = std::max(sum.oldest, metrics.oldest);
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -51,7 +51,7 @@
 
     std::array<OrdersHeld, partition_count> held{};
 
-    auto metrics(Microseconds now) const -> RolloutMetrics;  // sum over all models led by this node
+    auto collect_metrics(Microseconds now) const -> RolloutMetrics;  // sum over all models led by this node
 
    private:
     auto step_partition(
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -57,7 +57,7 @@
     auto due = weights_duty.step(control, *snapshot.load(), now);
     weights_under_way = due.under_way;
     tell_notes(due);
-    auto const metrics = weights_duty.metrics(now);
+    auto const metrics = weights_duty.collect_metrics(now);
     counters.weights_behind = metrics.behind;
     counters.weights_overdue = metrics.overdue;
     counters.weights_oldest = static_cast<std::uint64_t>(metrics.oldest / one_millisecond);
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -162,9 +162,9 @@
     pool.run(bound - weights_margin + heard - 3 * one_second);
     CHECK(pool.orders == 0);
     CHECK(pool.open_after(0) == 0);
-    CHECK(pool.rollout.metrics(pool.now).overdue == 6);
-    CHECK(pool.rollout.metrics(pool.now).behind == 6);
-    CHECK(pool.rollout.metrics(pool.now).oldest >= bound - weights_margin);
+    CHECK(pool.rollout.collect_metrics(pool.now).overdue == 6);
+    CHECK(pool.rollout.collect_metrics(pool.now).behind == 6);
+    CHECK(pool.rollout.collect_metrics(pool.now).oldest >= bound - weights_margin);
 }
 
 TEST_CASE("the moments of versions named long ago give way and give nobody more time") {
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -112,7 +112,7 @@
     auto const told = NamingAges{false, {{model, {{5, 60 * one_second}}}}};
     world->act(holder, node.control.receive(world->local(node), "former", "former", told));
     duties.run(2 * one_second);
-    CHECK(duties.duties.at(holder).rollouts.at({partition, model}).metrics(world->local(node)).overdue == 0);
+    CHECK(duties.duties.at(holder).rollouts.at({partition, model}).collect_metrics(world->local(node)).overdue == 0);
     auto guard = WeightsGuard();
     guard.bound = bound;
     guard.take_named(snapshot_of(node).named);
