--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -15,20 +15,20 @@
 namespace dockrock {
 
 struct WeightsGuard {
-    static constexpr Microseconds patience = 3 * one_second;
-    Microseconds bound = 0;                             // target weights serve everywhere by then; 0: no bound
-    std::bitset<partition_count> heard;                 // service partitions with a leader's proof since the start
-    std::map<std::string, NamedVersions> named;         // by model
-    std::map<std::string, Microseconds> unheard_since;  // by model
+    static constexpr Microseconds startup_wait = 3 * one_second;
+    Microseconds bound = 0;                              // target weights serve everywhere by then; 0: no bound
+    std::bitset<partition_count> proven;                 // service partitions with a leader's proof since the start
+    std::map<std::string, NamedVersions> named;          // by model
+    std::map<std::string, Microseconds> unproven_since;  // by model
     std::set<std::string> withheld;
-    Microseconds judge_at = never;  // when the next replica becomes overdue
+    Microseconds next_check_at = never;  // when the next replica becomes overdue
 
     static constexpr auto never = std::numeric_limits<Microseconds>::max();
 
-    auto take_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
+    auto learn_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
         for (auto const& [model, version] : targets) named[model].take(version, now);
     }
-    auto take_named(std::map<std::string, NamedVersions> const& known) -> void {
+    auto learn_times(std::map<std::string, NamedVersions> const& known) -> void {
         for (auto const& [model, versions] : known) named[model].merge(versions);
     }
     auto overdue_from(std::string const& model, std::int64_t version) const -> Microseconds {
@@ -40,9 +40,9 @@
         return now >= overdue_from(model, version);
     }
     // The target version is not known yet and `patience` has not run out.
-    auto unjudged(std::string const& model, int partition, Microseconds now) -> bool {
-        if (heard[static_cast<std::size_t>(partition)]) return false;
-        return now - unheard_since.try_emplace(model, now).first->second < patience;
+    auto target_pending(std::string const& model, int partition, Microseconds now) -> bool {
+        if (proven[static_cast<std::size_t>(partition)]) return false;
+        return now - unproven_since.try_emplace(model, now).first->second < startup_wait;
     }
     auto overdue_from(ReplicaWeights const& held) const -> Microseconds {
         auto earliest = never;
@@ -50,14 +50,14 @@
         return earliest;
     }
     auto is_overdue(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= overdue_from(held); }
-    // Replicas are checked when their state changes, and again at `judge_at`.
-    auto plan_judging(WeightsWords const& replicas, Microseconds now) -> void {
-        judge_at = never;
+    // Replicas are checked when their state changes, and again at `next_check_at`.
+    auto schedule_check(WeightsWords const& replicas, Microseconds now) -> void {
+        next_check_at = never;
         for (auto const& [name, held] : replicas)
-            if (auto const from = overdue_from(held); from > now) judge_at = std::min(judge_at, from);
+            if (auto const from = overdue_from(held); from > now) next_check_at = std::min(next_check_at, from);
     }
     // The targets of a partition, or their absence, are known once it had a proof.
-    static auto heard_by(Control const& control) -> std::bitset<partition_count> {
+    static auto proven_partitions(Control const& control) -> std::bitset<partition_count> {
         std::bitset<partition_count> partitions;
         for (auto index = std::size_t{1}; index <= service_partitions; ++index)
             partitions[index] = control.news[index].proven_at > PartitionNews().proven_at;
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -120,7 +120,7 @@
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
     losses_bearable.look(control, now);
-    auto const first_heard = form != nullptr && weights_guard.heard != WeightsGuard::heard_by(control);
+    auto const first_heard = form != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.news || first_heard) publish_snapshot();
     take_proof();
 }
@@ -142,7 +142,7 @@
     take_proof();
     judge_resting(clock_now());
     auto const guard = std::lock_guard(table.lock);
-    if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written here alone
+    if (form != nullptr) weights_guard.proven = WeightsGuard::proven_partitions(control);  // written here alone
     if (form != nullptr) take_services(*fresh);
     table.granting.burden.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -65,21 +65,21 @@
     std::erase_if(stores, [&](auto const& item) { return !named.contains(item.first); });
     auto const now = clock_now();
     weights_guard.bound = settings.bounds.weights;
-    weights_guard.take_named(fresh.named);
-    weights_guard.take_targets(fresh.target_versions, now);
+    weights_guard.learn_times(fresh.named);
+    weights_guard.learn_targets(fresh.target_versions, now);
     for (auto const& [name, held] : fresh.replica_weights) {
         auto version = std::int64_t{0};  // one model a service: the greatest number there is
         for (auto const& [model, number] : held.versions) version = std::max(version, number);
         auto const overdue = weights_guard.is_overdue(held, now);
-        auto const unjudged = std::any_of(held.versions.begin(), held.versions.end(), [&](auto const& item) {
-            return weights_guard.unjudged(item.first, partition_of_service(item.first), now);
+        auto const target_pending = std::any_of(held.versions.begin(), held.versions.end(), [&](auto const& item) {
+            return weights_guard.target_pending(item.first, partition_of_service(item.first), now);
         });
         if (weights_guard.withhold(name, overdue))  // the leader's log tells why it takes so long
             write_log(Level::warning, "weights-withheld", fields("replica", name, "version", version));
-        auto const closed = held.loading || overdue || unjudged;
+        auto const closed = held.loading || overdue || target_pending;
         table.granting.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
     }
-    weights_guard.plan_judging(fresh.replica_weights, now);
+    weights_guard.schedule_check(fresh.replica_weights, now);
     weights_guard.forget_others(fresh.replica_weights);
     counters.weights_withheld = weights_guard.withheld.size();
 }
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -67,7 +67,7 @@
         auto const now = clock_now();
         look_at_settings(now);
         auto guard = std::unique_lock(table.lock);
-        if (now >= weights_guard.judge_at) take_replica_weights(*snapshot.load());
+        if (now >= weights_guard.next_check_at) take_replica_weights(*snapshot.load());
         if (table.granting.waiting_count() > 0) match_locked(now);
         auto const& options = table.granting.options;
         auto const interval = table.granting.burden.relayed ? options.relayed_interval : options.digest_interval;
--- a/tests/version_late_test.cpp
+++ b/tests/version_late_test.cpp
@@ -21,7 +21,7 @@
 TEST_CASE("near the bound of named weights, replicas of older ones get nothing new") {
     auto guard = guard_of_twelve_seconds();
     CHECK_FALSE(guard.is_overdue("m", 1, known_at + 11 * one_second));  // nothing known since when
-    guard.take_targets({{"m", 2}}, known_at);
+    guard.learn_targets({{"m", 2}}, known_at);
     CHECK_FALSE(guard.is_overdue("m", 1, known_at + 9 * one_second));
     CHECK(guard.is_overdue("m", 1, known_at + 10 * one_second));
     CHECK(guard.is_overdue("m", 1, known_at + 60 * one_second));
@@ -31,8 +31,8 @@
 
 TEST_CASE("a version named later gives older weights no more time") {
     auto guard = guard_of_twelve_seconds();
-    guard.take_targets({{"m", 2}}, known_at);
-    guard.take_targets({{"m", 3}}, known_at + 5 * one_second);
+    guard.learn_targets({{"m", 2}}, known_at);
+    guard.learn_targets({{"m", 3}}, known_at + 5 * one_second);
     CHECK_FALSE(guard.is_overdue("m", 1, known_at + 9 * one_second));
     CHECK(guard.is_overdue("m", 1, known_at + 10 * one_second));
     CHECK_FALSE(guard.is_overdue("m", 2, known_at + 14 * one_second));
@@ -53,27 +53,27 @@
 
 TEST_CASE("a node judges its replicas anew at the very moment when the next one's weights get late") {
     auto guard = guard_of_twelve_seconds();
-    guard.take_targets({{"m", 2}}, known_at);
-    guard.take_targets({{"m", 3}}, known_at + 2 * one_second);
+    guard.learn_targets({{"m", 2}}, known_at);
+    guard.learn_targets({{"m", 3}}, known_at + 2 * one_second);
     auto const overdue_at = known_at + guard.bound - weights_margin;
     auto const replicas = WeightsWords{{"a", {{{"m", 1}}}}, {"b", {{{"m", 2}}}}, {"c", {{{"m", 3}}}}};
-    guard.plan_judging(replicas, known_at + 3 * one_second);
-    CHECK(guard.judge_at == overdue_at);
-    guard.plan_judging(replicas, overdue_at);
-    CHECK(guard.judge_at == overdue_at + 2 * one_second);
-    guard.plan_judging(replicas, overdue_at + 2 * one_second);
-    CHECK(guard.judge_at == WeightsGuard::never);
+    guard.schedule_check(replicas, known_at + 3 * one_second);
+    CHECK(guard.next_check_at == overdue_at);
+    guard.schedule_check(replicas, overdue_at);
+    CHECK(guard.next_check_at == overdue_at + 2 * one_second);
+    guard.schedule_check(replicas, overdue_at + 2 * one_second);
+    CHECK(guard.next_check_at == WeightsGuard::never);
     guard.bound = 0;
-    guard.plan_judging(replicas, known_at);
-    CHECK(guard.judge_at == WeightsGuard::never);
+    guard.schedule_check(replicas, known_at);
+    CHECK(guard.next_check_at == WeightsGuard::never);
 }
 
 TEST_CASE("what was named is waited for after a start, for models with weights and for a while") {
     auto guard = guard_of_twelve_seconds();
-    CHECK(guard.unjudged("m", 3, known_at));
-    CHECK(guard.unjudged("m", 3, known_at + 2 * one_second));
-    CHECK_FALSE(guard.unjudged("m", 3, known_at + WeightsGuard::patience));
-    CHECK(guard.unjudged("n", 4, known_at));
-    guard.heard[4] = true;
-    CHECK_FALSE(guard.unjudged("n", 4, known_at));
+    CHECK(guard.target_pending("m", 3, known_at));
+    CHECK(guard.target_pending("m", 3, known_at + 2 * one_second));
+    CHECK_FALSE(guard.target_pending("m", 3, known_at + WeightsGuard::startup_wait));
+    CHECK(guard.target_pending("n", 4, known_at));
+    guard.proven[4] = true;
+    CHECK_FALSE(guard.target_pending("n", 4, known_at));
 }
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -115,6 +115,6 @@
     CHECK(duties.duties.at(holder).rollouts.at({partition, model}).collect_metrics(world->local(node)).overdue == 0);
     auto guard = WeightsGuard();
     guard.bound = bound;
-    guard.take_named(snapshot_of(node).named);
+    guard.learn_times(snapshot_of(node).named);
     CHECK_FALSE(guard.is_overdue(model, 1, world->local(node)));
 }
