--- a/source/control/named_versions.hpp
+++ b/source/control/named_versions.hpp
@@ -39,7 +39,7 @@
     auto newest() const -> std::int64_t { return at.empty() ? first_version : at.rbegin()->first; }
     auto up_to(std::int64_t version) const -> NamedVersions { return {{at.begin(), at.upper_bound(version)}}; }
     // When the first version above `held` became the target: newer targets don't extend the period.
-    auto named_after(std::int64_t held) const -> std::optional<Microseconds> {
+    auto superseded_at(std::int64_t held) const -> std::optional<Microseconds> {
         auto first = std::optional<Microseconds>();
         for (auto next = at.upper_bound(held); next != at.end(); ++next)
             first = first ? std::min(*first, next->second) : next->second;
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -31,13 +31,13 @@
 
 // Only versions up to the target in this node's document: a higher one can't be ordered, so it makes no
 // replica overdue. One that other nodes report may have been lost with the disks that held it.
-auto named_here(VersionNamings const& namings, std::map<std::string, std::int64_t> const& targets)
+auto times_up_to_target(VersionNamings const& namings, std::map<std::string, std::int64_t> const& targets)
     -> std::map<std::string, NamedVersions> {
-    std::map<std::string, NamedVersions> named;
+    std::map<std::string, NamedVersions> times;
     for (auto const& [model, versions] : namings.by_model)
         if (auto const target = targets.find(model); target != targets.end())
-            named[model] = versions.up_to(target->second);
-    return named;
+            times[model] = versions.up_to(target->second);
+    return times;
 }
 
 auto apply_published_states(Snapshot& fresh, std::string const& text) -> void {
@@ -75,7 +75,7 @@
             if (item.value().is_string()) fresh->target_weights[item.key()] = std::string(item.value().as_string());
             if (item.value().is_int64()) fresh->target_versions[item.key()] = item.value().as_int64();
         }
-    fresh->named = named_here(control.namings, fresh->target_versions);
+    fresh->version_times = times_up_to_target(control.namings, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
         apply_published_states(*fresh, control.news[partition].live);
--- a/source/control/snapshot.hpp
+++ b/source/control/snapshot.hpp
@@ -15,7 +15,7 @@
     ReplicaList list;
     std::map<std::string, std::string> target_weights;
     std::map<std::string, std::int64_t> target_versions;  // by model, for models with a target version
-    std::map<std::string, NamedVersions> named;           // of these, since when this node or others know them
+    std::map<std::string, NamedVersions> version_times;   // of these, since when this node or others know them
     WeightsWords replica_weights;                         // of the listed replicas
     std::set<std::string> resting;
     OverdueCheck overdue_check;  // checked before a request is sent to a replica
--- a/source/control/version_namings.cpp
+++ b/source/control/version_namings.cpp
@@ -15,9 +15,9 @@
     auto changed = false;
     for (auto const& [model, versions] : told) {
         NamedVersions other;
-        for (auto const& named : versions)
-            if (named.version > first_version)
-                other.at[named.version] = now - std::clamp(named.age, std::int64_t{0}, std::int64_t{longest_age});
+        for (auto const& target : versions)
+            if (target.version > first_version)
+                other.at[target.version] = now - std::clamp(target.age, std::int64_t{0}, std::int64_t{longest_age});
         auto& known = by_model[model];
         auto const newest = known.newest();
         changed = known.merge(other) || changed;
@@ -28,8 +28,8 @@
 
 auto VersionNamings::ages(Microseconds now) const -> NamedAges {
     NamedAges told;
-    for (auto const& [model, named] : by_model)
-        for (auto const& [version, moment] : named.at)
+    for (auto const& [model, times] : by_model)
+        for (auto const& [version, moment] : times.at)
             told[model].push_back({version, std::min(now - moment, longest_age)});
     return told;
 }
--- a/source/control/versions_due.cpp
+++ b/source/control/versions_due.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 auto VersionsRollout::is_overdue(ReplicaProgress const& progress, Microseconds now) const -> bool {
-    auto const since = named.named_after(progress.version);
+    auto const since = version_times.superseded_at(progress.version);
     return times.bound > 0 && since && now - *since >= times.bound - times.margin;
 }
 
@@ -25,7 +25,7 @@
     for (auto const& [name, progress] : by_replica) {
         if (progress.service != service || progress.drain) continue;
         ++replicas;
-        auto const since = named.named_after(progress.version);
+        auto const since = version_times.superseded_at(progress.version);
         if (since && !is_overdue(progress, now))
             behind.emplace(*since + times.bound - times.margin - now, progress.stage == Stage::idle ? 1.0 : 0.5);
     }
@@ -76,7 +76,8 @@
         auto const overdue = is_overdue(progress, now);
         if (overdue && !progress.overdue)
             notes.push_back(
-                {RolloutNote::Kind::overdue, name, progress.version, now - *named.named_after(progress.version)});
+                {RolloutNote::Kind::overdue, name, progress.version,
+                 now - *version_times.superseded_at(progress.version)});
         progress.overdue = overdue;
     }
 }
@@ -87,7 +88,7 @@
         if (is_overdue(progress, now)) ++metrics.overdue;
         if (progress.drain || progress.version >= target) continue;
         ++metrics.behind;
-        if (auto const since = named.named_after(progress.version))
+        if (auto const since = version_times.superseded_at(progress.version))
             metrics.oldest = std::max(metrics.oldest, now - *since);
     }
     return metrics;
--- a/source/control/versions_rollout.cpp
+++ b/source/control/versions_rollout.cpp
@@ -22,9 +22,9 @@
 }
 
 auto VersionsRollout::take_list(std::vector<ListedReplica> const& replicas, Microseconds now) -> void {
-    std::set<std::string_view> named;
+    std::set<std::string_view> listed_names;
     for (auto const& replica : replicas) {
-        named.insert(replica.name);
+        listed_names.insert(replica.name);
         auto& progress = by_replica[replica.name];
         progress.service = replica.service;
         progress.area = replica.area;
@@ -43,7 +43,7 @@
             progress.published = false;
         }
     }
-    std::erase_if(by_replica, [&](auto const& item) { return !named.contains(item.first); });
+    std::erase_if(by_replica, [&](auto const& item) { return !listed_names.contains(item.first); });
 }
 
 auto VersionsRollout::step(
@@ -51,10 +51,10 @@
     std::vector<ListedReplica> const& replicas, Microseconds now) -> RolloutActions {
     fence = under_fence;
     take_list(replicas, now);
-    named.take(wanted, now);
+    version_times.take(wanted, now);
     if (wanted > target) {
         target = wanted;
-        if (wanted > first_version) notes.push_back({RolloutNote::Kind::named, "", wanted, 0});
+        if (wanted > first_version) notes.push_back({RolloutNote::Kind::target_set, "", wanted, 0});
         for (auto& [name, progress] : by_replica) progress.failures = 0;
     }
     may_order = may_order && fence > stopped_fence;
@@ -96,7 +96,8 @@
     }
     auto const first = [&](ReplicaProgress const& progress) {
         return std::tuple(
-            named.named_after(progress.version), progress.failures, busy_there[{progress.service, progress.area}]);
+            version_times.superseded_at(progress.version), progress.failures,
+            busy_there[{progress.service, progress.area}]);
     };
     while (true) {
         std::pair<std::string const, ReplicaProgress>* best = nullptr;
--- a/source/control/versions_rollout.hpp
+++ b/source/control/versions_rollout.hpp
@@ -41,9 +41,9 @@
 };
 // A log entry of a roll-out, with the version and a duration that depends on the kind.
 struct RolloutNote {
-    enum class Kind : int { named, announced, loaded, silent, overdue };
-    Kind kind = Kind::named;
-    std::string replica;  // empty if kind is `named`
+    enum class Kind : int { target_set, announced, loaded, silent, overdue };
+    Kind kind = Kind::target_set;
+    std::string replica;  // empty if kind is `target_set`
     std::int64_t version = 0;
     Microseconds length = 0;
 };
@@ -101,7 +101,7 @@
         Microseconds listed_since = 0;
     };
     RolloutTimes times;
-    NamedVersions named;
+    NamedVersions version_times;
     std::int64_t target = 0;
     std::uint64_t fence = 0;
     std::uint64_t stopped_fence = 0;  // a replica has seen a later leader than this fence: no more orders
--- a/source/control/weights_duty.cpp
+++ b/source/control/weights_duty.cpp
@@ -40,8 +40,8 @@
 
 auto WeightsDuty::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions {
     DutyActions actions;
-    for (auto const& [model, versions] : snapshot.named) named[model].merge(versions);
-    for (auto const& [model, version] : snapshot.target_versions) named[model].take(version, now);
+    for (auto const& [model, versions] : snapshot.version_times) version_times[model].merge(versions);
+    for (auto const& [model, version] : snapshot.target_versions) version_times[model].take(version, now);
     for (auto partition = 1; partition <= service_partitions; ++partition)
         step_partition(partition, control, snapshot, now, actions);
     return actions;
@@ -85,7 +85,7 @@
                         rollout.adopt(replica, version->second, state->second.loading, now);
         }
         rollout.times.bound = bound;
-        rollout.named.merge(named[model]);
+        rollout.version_times.merge(version_times[model]);
         auto const fence = record.term;
         auto const ordering = waited && sure && may_order(control, partition, fence, now);
         auto const load_slots = load_slots_for(at_once, replicas.size());
--- a/source/control/weights_duty.hpp
+++ b/source/control/weights_duty.hpp
@@ -41,7 +41,7 @@
     std::array<Tenure, partition_count> tenures;
     std::map<std::pair<int, std::string>, VersionsRollout> rollouts;  // by partition and model
 
-    std::map<std::string, NamedVersions> named;  // by model, since the start of the process, as leader or not
+    std::map<std::string, NamedVersions> version_times;  // by model, since the start of the process, as leader or not
 
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> DutyActions;
     auto order_ended(DutyOrder const& order, OrderResult end, Microseconds now) -> void;
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -18,7 +18,7 @@
     static constexpr Microseconds startup_wait = 3 * one_second;
     Microseconds bound = 0;                              // target weights serve everywhere by then; 0: no bound
     std::bitset<partition_count> proven;                 // service partitions with a leader's proof since the start
-    std::map<std::string, NamedVersions> named;          // by model
+    std::map<std::string, NamedVersions> version_times;  // by model
     std::map<std::string, Microseconds> unproven_since;  // by model
     std::set<std::string> withheld;
     Microseconds next_check_at = never;  // when the next replica becomes overdue
@@ -26,20 +26,20 @@
     static constexpr auto never = std::numeric_limits<Microseconds>::max();
 
     auto learn_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
-        for (auto const& [model, version] : targets) named[model].take(version, now);
+        for (auto const& [model, version] : targets) version_times[model].take(version, now);
     }
     auto learn_times(std::map<std::string, NamedVersions> const& known) -> void {
-        for (auto const& [model, versions] : known) named[model].merge(versions);
+        for (auto const& [model, versions] : known) version_times[model].merge(versions);
     }
     auto overdue_from(std::string const& model, std::int64_t version) const -> Microseconds {
-        auto const found = named.find(model);
-        auto const since = found == named.end() ? std::nullopt : found->second.named_after(version);
+        auto const found = version_times.find(model);
+        auto const since = found == version_times.end() ? std::nullopt : found->second.superseded_at(version);
         return bound > 0 && since ? *since + bound - weights_margin : never;
     }
     auto is_overdue(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
         return now >= overdue_from(model, version);
     }
-    // The target version is not known yet and `patience` has not run out.
+    // The target version is not known yet and `startup_wait` has not run out.
     auto target_pending(std::string const& model, int partition, Microseconds now) -> bool {
         if (proven[static_cast<std::size_t>(partition)]) return false;
         return now - unproven_since.try_emplace(model, now).first->second < startup_wait;
--- a/source/control/work_limits.cpp
+++ b/source/control/work_limits.cpp
@@ -10,9 +10,9 @@
     if (bound <= 0 || held == snapshot.replica_weights.end() || held->second.versions.empty()) return {};
     auto since = now;
     for (auto const& [model, version] : held->second.versions) {
-        auto const named = snapshot.named.find(model);
-        if (named == snapshot.named.end()) continue;
-        since = std::min(since, named->second.named_after(version).value_or(now));
+        auto const times = snapshot.version_times.find(model);
+        if (times == snapshot.version_times.end()) continue;
+        since = std::min(since, times->second.superseded_at(version).value_or(now));
     }
     return {since + bound - recall_margin, since + bound - end_margin};
 }
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -65,7 +65,7 @@
     std::erase_if(stores, [&](auto const& item) { return !named.contains(item.first); });
     auto const now = clock_now();
     weights_guard.bound = settings.bounds.weights;
-    weights_guard.learn_times(fresh.named);
+    weights_guard.learn_times(fresh.version_times);
     weights_guard.learn_targets(fresh.target_versions, now);
     for (auto const& [name, held] : fresh.replica_weights) {
         auto version = std::int64_t{0};  // one model a service: the greatest number there is
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -24,13 +24,13 @@
     auto restarted = VersionNamings();
     auto const asked = named_at + 9 * one_second;
     restarted.learn(R"({"m":3})", asked + skew);
-    CHECK(*restarted.by_model["m"].named_after(1) == asked + skew);
+    CHECK(*restarted.by_model["m"].superseded_at(1) == asked + skew);
     auto const message = read_message(write_message(NamingAges{false, knows.ages(asked)}));
     REQUIRE(message);
     auto const way = 300 * one_millisecond;
     CHECK(restarted.take(std::get<NamingAges>(*message).named, asked + way + skew));
-    CHECK(*restarted.by_model["m"].named_after(1) == named_at + way + skew);
-    CHECK(*restarted.by_model["m"].named_after(2) == named_at + 4 * one_second + way + skew);
+    CHECK(*restarted.by_model["m"].superseded_at(1) == named_at + way + skew);
+    CHECK(*restarted.by_model["m"].superseded_at(2) == named_at + 4 * one_second + way + skew);
     // The same once more, on a longer way, changes nothing; nor does what the other is told in turn.
     CHECK_FALSE(restarted.take(knows.ages(asked), asked + 5 * one_second + skew));
     auto other = knows;
@@ -49,9 +49,9 @@
         nodes[random.below(5)].take(told, now);
     }
     for (auto& node : nodes) {
-        REQUIRE(node.by_model["m"].named_after(1));
-        CHECK(*node.by_model["m"].named_after(1) >= named_at);
-        CHECK(*node.by_model["m"].named_after(1) <= named_at + one_second);
+        REQUIRE(node.by_model["m"].superseded_at(1));
+        CHECK(*node.by_model["m"].superseded_at(1) >= named_at);
+        CHECK(*node.by_model["m"].superseded_at(1) <= named_at + one_second);
     }
 }
 
@@ -61,7 +61,7 @@
     CHECK(node.by_model["m"].at.size() == 2);
     CHECK(node.by_model["m"].at[2] == named_at);
     CHECK(node.by_model["m"].at[3] == named_at - VersionNamings::longest_age);
-    CHECK(*node.by_model["m"].named_after(1) == named_at - VersionNamings::longest_age);
+    CHECK(*node.by_model["m"].superseded_at(1) == named_at - VersionNamings::longest_age);
     node.learn("[]", named_at);
     node.learn("{", named_at);
     node.learn(R"({"m":1,"n":"2"})", named_at);
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -174,9 +174,9 @@
     CHECK_FALSE(named.take(199, 9'999));
     CHECK_FALSE(named.take(50, 9'999));
     CHECK(named.at.size() == NamedVersions::most);
-    CHECK(*named.named_after(1) <= 10 * 136);
-    for (auto version = 136; version < 199; ++version) CHECK(*named.named_after(version) == 10 * (version + 1));
-    CHECK_FALSE(named.named_after(199));
+    CHECK(*named.superseded_at(1) <= 10 * 136);
+    for (auto version = 136; version < 199; ++version) CHECK(*named.superseded_at(version) == 10 * (version + 1));
+    CHECK_FALSE(named.superseded_at(199));
 }
 
 TEST_CASE("a replica that is back with its former version long after the bound gets nothing and is ordered at once") {
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -26,8 +26,8 @@
     REQUIRE(*next != holder);
     auto const& node = *world->nodes[*next];
     auto const& rollout = duties.duties.at(*next).rollouts.at({partition, model});
-    REQUIRE(rollout.named.named_after(1));
-    CHECK(world->local(node) - *rollout.named.named_after(1) >= world->now - heard);
+    REQUIRE(rollout.version_times.superseded_at(1));
+    CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
 }
 
 TEST_CASE("a holder that restarted counts from when the version was named, as the other nodes do") {
@@ -76,10 +76,10 @@
     auto const holder = *world->leader(partition);
     auto const& node = *world->nodes[holder];
     auto const& rollout = duties.duties.at(holder).rollouts.at({partition, model});
-    REQUIRE(rollout.named.named_after(1));
-    CHECK(world->local(node) - *rollout.named.named_after(1) >= world->now - heard);
-    REQUIRE(rollout.named.named_after(2));
-    CHECK(*rollout.named.named_after(2) - *rollout.named.named_after(1) >= 4 * one_second);
+    REQUIRE(rollout.version_times.superseded_at(1));
+    CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
+    REQUIRE(rollout.version_times.superseded_at(2));
+    CHECK(*rollout.version_times.superseded_at(2) - *rollout.named.superseded_at(1) >= 4 * one_second);
 }
 
 TEST_CASE("a holder that does not know the list yet leaves the words of the former one as they are") {
@@ -115,6 +115,6 @@
     CHECK(duties.duties.at(holder).rollouts.at({partition, model}).collect_metrics(world->local(node)).overdue == 0);
     auto guard = WeightsGuard();
     guard.bound = bound;
-    guard.learn_times(snapshot_of(node).named);
+    guard.learn_times(snapshot_of(node).version_times);
     CHECK_FALSE(guard.is_overdue(model, 1, world->local(node)));
 }
--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -41,7 +41,7 @@
 
 TEST_CASE("older weights end when the first newer version has to serve everywhere, whatever is named later") {
     auto snapshot = holding(1);
-    snapshot.named["m"].at = {{2, now - 5 * one_second}, {3, now - one_second}};
+    snapshot.version_times["m"].at = {{2, now - 5 * one_second}, {3, now - one_second}};
     auto const limits = work_limits(snapshot, "life-1", bound, now);
     CHECK(limits.begin_by == now + 10 * one_second - recall_margin);
     CHECK(limits.end_by == now + 10 * one_second - end_margin);
@@ -49,7 +49,7 @@
 
 TEST_CASE("work at the newest weights ends in the time that a version named now would leave") {
     auto snapshot = holding(3);
-    snapshot.named["m"].at = {{2, now - 14 * one_second}, {3, now - 13 * one_second}};
+    snapshot.version_times["m"].at = {{2, now - 14 * one_second}, {3, now - 13 * one_second}};
     CHECK(work_limits(snapshot, "life-1", bound, now).begin_by == now + bound - recall_margin);
     CHECK(work_limits(holding(1), "life-1", bound, now).begin_by == now + bound - recall_margin);
 }
