--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -31,7 +31,7 @@
         wire.node->settings.bounds.weights = bound;
         auto snapshot = std::make_shared<Snapshot>(*wire.node->snapshot.load());
         snapshot->replica_weights["life-1"].versions["m"] = 1;
-        snapshot->named["m"].at[2] = clock_now() + left - bound;
+        snapshot->version_times["m"].at[2] = clock_now() + left - bound;
         wire.node->snapshot = snapshot;
     }
     auto ask() -> TryResult { return wire.send(Wire::request("id-1", 4), course, answer, verdict); }
