--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -79,7 +79,7 @@
     REQUIRE(rollout.version_times.superseded_at(1));
     CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
     REQUIRE(rollout.version_times.superseded_at(2));
-    CHECK(*rollout.version_times.superseded_at(2) - *rollout.named.superseded_at(1) >= 4 * one_second);
+    CHECK(*rollout.version_times.superseded_at(2) - *rollout.version_times.superseded_at(1) >= 4 * one_second);
 }
 
 TEST_CASE("a holder that does not know the list yet leaves the words of the former one as they are") {
