--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -21,7 +21,7 @@
 // Drops reports that are too old. A node that is silent here and reports to another
 // relay belongs to that one; the sum of a silent relay is dropped once most of its
 // nodes report to other relays. Otherwise they would be counted twice.
-auto LoadRelay::forget(Microseconds now) -> void {
+auto LoadRelay::drop_stale(Microseconds now) -> void {
     std::erase_if(children, [&](auto const& item) {
         auto const age = now - item.second.at;
         if (age <= times.old || age > times.lost) return age > times.lost;
@@ -61,7 +61,7 @@
 }
 
 auto LoadRelay::sum_up(Microseconds now) -> void {
-    forget(now);
+    drop_stale(now);
     auto sum = Sum{++number, 0, own_sum(now)};
     for (auto& [node, child] : children) {
         child.summed = child.number;
@@ -81,7 +81,7 @@
 }
 
 auto LoadRelay::take(std::string const& node, LoadTold const& told, Microseconds now) -> std::optional<LoadSum> {
-    if (deaf(now)) return std::nullopt;
+    if (ignoring(now)) return std::nullopt;
     auto loads = read_loads(told.body);
     auto& child = children[node];
     // A lower number is a late report, or the first one of a restarted node.
@@ -107,7 +107,7 @@
 }
 
 auto LoadRelay::take(std::string const& relay, LoadShare const& told, Microseconds now) -> void {
-    if (deaf(now)) return;
+    if (ignoring(now)) return;
     auto loads = read_loads(told.body);
     auto& share = shares[relay];
     if (!loads || (told.number <= share.number && now - share.at <= times.old)) return;
@@ -122,17 +122,19 @@
 }
 
 // Reports that were queued while this process was frozen are outdated.
-auto LoadRelay::deaf(Microseconds now) const -> bool { return now < deaf_until || now - ticked_at > times.frozen_gap; }
+auto LoadRelay::ignoring(Microseconds now) const -> bool {
+    return now < ignore_until || now - ticked_at > times.frozen_gap;
+}
 
 auto LoadRelay::tick(Microseconds now) -> std::optional<LoadShare> {
     if (now - ticked_at > times.frozen_gap && ticked_at != 0) {
         children.clear();
         shares.clear();
-        deaf_until = now + times.deaf;
+        ignore_until = now + times.ignore_time;
     }
     ticked_at = now;
     if (now - shared_at < times.interval) return std::nullopt;
-    forget(now);
+    drop_stale(now);
     if (children.empty()) return std::nullopt;
     shared_at = now;
     LoadShare told;
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -14,10 +14,10 @@
     Microseconds old = one_second;                  // as in SchedulingOptions: older reports count for more load
     Microseconds lost = 10 * one_second;            // and reports older than this are dropped
     Microseconds names_interval = one_second / 2;
-    Microseconds frozen_gap = one_second / 2;      // a longer time between ticks means the process was frozen;
-    Microseconds deaf = 200 * one_millisecond;     // it then ignores reports, which are outdated
-    Microseconds silence = 600 * one_millisecond;  // a relay that does not answer for so long is replaced,
-    Microseconds avoid = 5 * one_second;           // and not chosen again for so long
+    Microseconds frozen_gap = one_second / 2;          // a longer time between ticks means the process was frozen;
+    Microseconds ignore_time = 200 * one_millisecond;  // it then ignores reports, which are outdated
+    Microseconds silence = 600 * one_millisecond;      // a relay that does not answer for so long is replaced,
+    Microseconds avoid = 5 * one_second;               // and not chosen again for so long
 };
 
 struct LoadRelay {
@@ -53,7 +53,7 @@
     Microseconds shared_at = 0;
     Microseconds named_at = 0;
     Microseconds ticked_at = 0;
-    Microseconds deaf_until = 0;
+    Microseconds ignore_until = 0;
 
     auto take(std::string const& node, LoadTold const& told, Microseconds now) -> std::optional<LoadSum>;
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
@@ -62,8 +62,8 @@
     auto rate_of(std::string const& node, Microseconds now) const -> double;  // requests placed in the last second
 
    private:
-    auto deaf(Microseconds now) const -> bool;
-    auto forget(Microseconds now) -> void;
+    auto ignoring(Microseconds now) const -> bool;
+    auto drop_stale(Microseconds now) -> void;
     auto own_sum(Microseconds now) const -> Loads;
     auto sum_up(Microseconds now) -> void;
 };
