--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -9,7 +9,7 @@
     settings = given;
     random.state = seed;
     membership.seeds = given.seeds;
-    appear_as(identity, incarnation);
+    set_identity(identity, incarnation);
     load_partitions(saved_parts, had_state, now);
 }
 
@@ -20,11 +20,11 @@
     bool had_state, Microseconds now) -> void {
     settings.core = true;
     membership.known.erase(identity);
-    appear_as(identity, std::max(incarnation, membership.self.incarnation + 1));
+    set_identity(identity, std::max(incarnation, membership.self.incarnation + 1));
     load_partitions(saved_parts, had_state, now);
 }
 
-auto Control::appear_as(std::string const& identity, std::uint64_t incarnation) -> void {
+auto Control::set_identity(std::string const& identity, std::uint64_t incarnation) -> void {
     auto& self = membership.self;
     self = Member{};
     self.identity = identity;
@@ -96,7 +96,8 @@
     return cores;
 }
 
-auto Control::with_parts(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void {
+auto Control::with_partitions(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work)
+    -> void {
     auto context = Context{
         now,
         membership.self.identity,
@@ -128,14 +129,14 @@
     auto const* answer = std::get_if<NewsAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = news[static_cast<std::size_t>(answer->partition)];
-        if (output.news || next_is_held(item, answer->partition, now)) ask_news(now, output);
+        if (output.news || next_request_held(item, answer->partition, now)) ask_news(now, output);
     }
     return output;
 }
 
 auto Control::saved(Microseconds now, std::uint64_t token, bool ok) -> ControlOutput {
     ControlOutput output;
-    with_parts(now, output, [&](Context& context) {
+    with_partitions(now, output, [&](Context& context) {
         for (auto& partition : partitions) partition.saved(context, token, ok);
     });
     publish(now, output);
@@ -145,10 +146,10 @@
 auto Control::tick(Microseconds now) -> ControlOutput {
     ControlOutput output;
     membership.self.knows_fleet = knows_fleet();
-    judge_load_relays();
+    update_load_relaying();
     membership.tick(now, random, output.sends);
     if (settings.core) {
-        with_parts(now, output, [&](Context& context) {
+        with_partitions(now, output, [&](Context& context) {
             form(now, context);
             for (auto& partition : partitions) partition.tick(context);
         });
@@ -161,7 +162,7 @@
     tick_calls(now, output);
     tick_claims(now, output);
     tick_anew(now, output);
-    answer_overdue(now, output);
+    answer_expired(now, output);
     return output;
 }
 
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -117,12 +117,12 @@
     auto list_read(Microseconds now, Microseconds asked_at, std::string const& text) -> ControlOutput {
         return live_read(configuration_partition, now, asked_at, text);
     }
-    auto wants_list(Microseconds now) const -> bool;
+    auto list_read_due(Microseconds now) const -> bool;
     auto digest(std::string const& body, std::uint64_t number, std::set<std::string> const& resting_nodes)
         -> ControlOutput;
 
     // Decides by the number of alive nodes whether load goes through relays (design 9.8).
-    auto judge_load_relays() -> bool;
+    auto update_load_relaying() -> bool;
     auto nodes_placing() const -> std::int64_t;
     // Sends this node's load to its relay; `held` is the last sum it has of the relay `held_of`.
     auto tell_load(
@@ -145,12 +145,12 @@
     auto knows_fleet() const -> bool;
     auto best_record(int partition) const -> Record const&;
     // No proof of a leader came by any path for so long that a call sent now would only wait.
-    auto out_of_contact(Microseconds now, int partition) const -> bool;
+    auto leader_unreachable(Microseconds now, int partition) const -> bool;
 
    private:
-    auto appear_as(std::string const& identity, std::uint64_t incarnation) -> void;
+    auto set_identity(std::string const& identity, std::uint64_t incarnation) -> void;
     auto load_partitions(std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void;
-    auto with_parts(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void;
+    auto with_partitions(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void;
     // A received message: arrival time, sender, and where the effects are collected.
     struct Arrival {
         Microseconds now = 0;
@@ -187,11 +187,11 @@
     auto learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output) -> void;
     auto ask_news(Microseconds now, ControlOutput& output) -> void;
     auto answer_news(Microseconds now, WaitingAsk const& waiting, ControlOutput& output, bool may_wait) -> void;
-    auto next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool;
-    auto answer_overdue(Microseconds now, ControlOutput& output) -> void;
-    auto answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void;
+    auto next_request_held(PartitionNews const& item, int partition, Microseconds now) const -> bool;
+    auto answer_expired(Microseconds now, ControlOutput& output) -> void;
+    auto answer_held(Microseconds now, int partition, ControlOutput& output) -> void;
     auto take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
-    auto take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
+    auto take_late_answer(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void;
     auto take_answer(
         Microseconds now, PartitionNews& item, NewsAnswer const& answer, Microseconds asked_at, ControlOutput& output)
         -> void;
@@ -205,7 +205,7 @@
     auto hold_limit(int partition) const -> Microseconds {
         return partition == configuration_partition ? times.hold_limit : times.service_hold_limit;
     }
-    auto ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool;
+    auto may_request_update(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool;
     auto news_target(PartitionNews& item, int partition, Microseconds now) -> std::string;
     auto other_target(PartitionNews const& item, std::string const& asked) -> std::string;
     auto send_call(Microseconds now, std::uint64_t token, PendingCall& pending, ControlOutput& output) -> void;
@@ -226,7 +226,7 @@
     auto staying_cores() const -> std::vector<Member>;
     auto begin_leaving(ControlOutput& output) -> void;
     auto has_duties() const -> bool;
-    auto held_parts() const -> std::vector<HeldPartition>;
+    auto held_partitions() const -> std::vector<HeldPartition>;
     auto take_anew(std::vector<HeldPartition> const& told) -> void;
     auto send_anew(Microseconds now, ControlOutput& output) -> void;
     auto tick_anew(Microseconds now, ControlOutput& output) -> void;
--- a/source/control/control_anew.cpp
+++ b/source/control/control_anew.cpp
@@ -12,7 +12,7 @@
 constexpr Microseconds send_interval = one_second;
 }  // namespace
 
-auto Control::held_parts() const -> std::vector<HeldPartition> {
+auto Control::held_partitions() const -> std::vector<HeldPartition> {
     std::vector<HeldPartition> held;
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = best_record(static_cast<int>(index));
@@ -35,7 +35,7 @@
 auto Control::form_anew(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
     auto const busy = anew.has_value();
-    auto fresh = PendingAnew{random.next() | 1U, local_token, now, {}, held_parts(), 0};
+    auto fresh = PendingAnew{random.next() | 1U, local_token, now, {}, held_partitions(), 0};
     auto const refused = [&](std::string_view what) {
         auto const body = json::serialize(fields("error", std::string(what) + "; nothing was done"));
         output.results.push_back({"", local_token, 409, body, ""});
@@ -121,7 +121,7 @@
     if (!settings.core || named || order.partitions.size() != partition_count || listed == order.voters.end()) return;
     if (!old_voter_alive(order.partitions).empty()) return;
     forms_anew = true;
-    with_parts(now, output, [&](Context& context) {
+    with_partitions(now, output, [&](Context& context) {
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
             partition.copy = {order.partitions[index].sequence, order.partitions[index].document, {}};
--- a/source/control/control_calls.cpp
+++ b/source/control/control_calls.cpp
@@ -6,7 +6,7 @@
 namespace dockrock {
 
 namespace {
-constexpr auto most_hops = 2;
+constexpr auto max_hops = 2;
 // Extra time for large bodies, which take longer to transfer and to parse.
 auto allowance_for(Call const& call, NewsTimes const& times) -> Microseconds {
     return static_cast<Microseconds>(call.body.size()) * times.call_each_mebibyte / (Microseconds{1} << 20U);
@@ -28,13 +28,13 @@
 auto Control::send_call(Microseconds now, std::uint64_t token, PendingCall& pending, ControlOutput& output) -> void {
     pending.sent_at = now;
     auto const call = pending.call;
-    if (out_of_contact(now, call.partition)) return;
+    if (leader_unreachable(now, call.partition)) return;
     auto const& record = best_record(call.partition);
     if (record.leader.empty()) return;
     ++pending.sends;
     if (record.leader == membership.self.identity) {
         ++pending.outstanding;
-        with_parts(now, output, [&](Context& context) {
+        with_partitions(now, output, [&](Context& context) {
             partitions[static_cast<std::size_t>(call.partition)].call(
                 context, membership.self.control_address, token, call);
         });
@@ -64,7 +64,7 @@
 }
 
 // No proof of a leader arrived by any path for a long time: a call sent now would only wait.
-auto Control::out_of_contact(Microseconds now, int partition) const -> bool {
+auto Control::leader_unreachable(Microseconds now, int partition) const -> bool {
     auto const& machine = partitions[static_cast<std::size_t>(partition)];
     auto const proven = std::min(proof_age(partition, now), proof_age(configuration_partition, now));
     return proven > times.shed_limit && !machine.has_lease(membership.self.identity, now);
@@ -85,8 +85,8 @@
     auto const& record = best_record(forward.call.partition);
     auto& partition = partitions[static_cast<std::size_t>(forward.call.partition)];
     auto const here = partition.is_leader(membership.self.identity) || record.leader == membership.self.identity;
-    if (here || forward.hops >= most_hops) {
-        with_parts(now, output, [&](Context& context) {
+    if (here || forward.hops >= max_hops) {
+        with_partitions(now, output, [&](Context& context) {
             partition.call(context, forward.origin, forward.token, forward.call);
         });
         return;
@@ -137,7 +137,7 @@
         auto const reads = pending.call.operation == "get" || pending.call.operation == "outcome";
         auto const sent = pending.outstanding > 0 && !reads;
         auto const unsent_limit =
-            out_of_contact(now, pending.call.partition) ? times.call_refused_limit : times.call_unsent_limit;
+            leader_unreachable(now, pending.call.partition) ? times.call_refused_limit : times.call_unsent_limit;
         auto const more = allowance_for(pending.call, times);
         auto const limit = (sent ? times.call_limit : unsent_limit) + more;
         if (now - pending.since > limit) over.push_back(token);
--- a/source/control/control_claims.cpp
+++ b/source/control/control_claims.cpp
@@ -17,7 +17,7 @@
     auto const& record = best_record(ask.partition);
     if (record.leader.empty()) return;
     if (record.leader == membership.self.identity) {
-        with_parts(now, output, [&](Context& context) {
+        with_partitions(now, output, [&](Context& context) {
             partitions[static_cast<std::size_t>(ask.partition)].claim(context, membership.self.control_address, ask);
         });
         return;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -10,7 +10,7 @@
 template <typename GroupMessage>
 auto Control::on(Arrival const& arrival, GroupMessage const& message) -> void {
     if (!settings.core || !is_partition(message.partition)) return;
-    with_parts(arrival.now, arrival.output, [&](Context& context) {
+    with_partitions(arrival.now, arrival.output, [&](Context& context) {
         partitions[static_cast<std::size_t>(message.partition)].on(context, arrival.from, message);
     });
 }
@@ -91,7 +91,7 @@
 
 auto Control::on(Arrival const& arrival, ClaimAsk const& ask) -> void {
     if (!is_partition(ask.partition) || !settings.core) return;
-    with_parts(arrival.now, arrival.output, [&](Context& context) {
+    with_partitions(arrival.now, arrival.output, [&](Context& context) {
         partitions[static_cast<std::size_t>(ask.partition)].claim(context, arrival.address, ask);
     });
 }
@@ -101,7 +101,7 @@
 }
 
 auto Control::on(Arrival const& arrival, AnewAsk const& ask) -> void {
-    arrival.output.sends.push_back({arrival.address, AnewAnswer{ask.token, held_parts()}});
+    arrival.output.sends.push_back({arrival.address, AnewAnswer{ask.token, held_partitions()}});
 }
 
 auto Control::on(Arrival const& arrival, AnewAnswer const& answer) -> void {
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -11,7 +11,7 @@
 constexpr Microseconds forming_interval = 700 * one_millisecond;
 constexpr auto forming_jitter = std::uint64_t{400'000};  // microseconds
 
-auto fleet_heard_of(Membership const& membership) -> bool {
+auto fleet_known(Membership const& membership) -> bool {
     auto const members = membership.alive_members(false);
     return std::any_of(members.begin(), members.end(), [](auto const& member) { return member.knows_fleet; });
 }
@@ -74,9 +74,10 @@
     for (auto const& member : cores) seen.push_back(member.identity);
     if (seen != cores_seen) cores_since = now;
     cores_seen = std::move(seen);
-    auto const former = std::find_if(
+    auto const forming_node = std::find_if(
         cores.begin(), cores.end(), [](auto const& member) { return !member.never_forms.value_or(false); });
-    if (cores.size() < cores_needed() || former == cores.end() || former->identity != membership.self.identity) {
+    if (cores.size() < cores_needed() || forming_node == cores.end() ||
+        forming_node->identity != membership.self.identity) {
         blank_since = now;
         return false;
     }
@@ -95,7 +96,7 @@
 auto Control::form(Microseconds now, Context& context) -> void {
     auto const& first = partitions[0].votes.decided;
     auto const blank = first.term == 0 && first.voters.empty();
-    if (blank && !forms_anew && fleet_heard_of(membership)) {
+    if (blank && !forms_anew && fleet_known(membership)) {
         blank_since = cores_since = now;
         return;
     }
@@ -111,8 +112,8 @@
     last_forming = now;
     for (auto& partition : partitions) {
         auto const& record = partition.votes.decided;
-        auto const named = !record.leader.empty() || record.voters.empty();
-        if (named || partition.proposal || (record.term != 0 && !forms_anew)) continue;
+        auto const in_group = !record.leader.empty() || record.voters.empty();
+        if (in_group || partition.proposal || (record.term != 0 && !forms_anew)) continue;
         partition.propose(context, first_group(membership, partition));
     }
 }
@@ -121,7 +122,7 @@
 auto Control::hand_over(Microseconds now, bool& pending) -> ControlOutput {
     ControlOutput output;
     if (!membership.self.leaving) begin_leaving(output);
-    with_parts(now, output, [&](Context& context) {
+    with_partitions(now, output, [&](Context& context) {
         for (auto& partition : partitions) pending = partition.hand_over(context) || pending;
     });
     pending = pending || has_duties();
--- a/source/control/control_live.cpp
+++ b/source/control/control_live.cpp
@@ -4,7 +4,7 @@
 
 namespace dockrock {
 
-auto Control::wants_list(Microseconds now) const -> bool {
+auto Control::list_read_due(Microseconds now) const -> bool {
     if (leads(configuration_partition, now)) return now - last_list_read >= times.list_interval;
     if (resting) return false;
     return now - news[configuration_partition].live_at > times.list_fallback && now - last_list_read >= one_second / 2;
@@ -24,7 +24,7 @@
     item.live = text;
     item.live_digest = digest;
     output.news = true;
-    answer_waiting(now, partition, output);
+    answer_held(now, partition, output);
     return output;
 }
 
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -12,7 +12,7 @@
 }
 
 // With hysteresis, so that single nodes joining and leaving do not toggle it: off below four fifths.
-auto Control::judge_load_relays() -> bool {
+auto Control::update_load_relaying() -> bool {
     auto const from = settings.load_relays_from;
     if (from == 0) return load_choice.relayed = false;
     auto const alive = membership.alive_count();
--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -8,7 +8,7 @@
 // leader did not inform: it must learn the record, or nobody proposes the next one (consensus.md 3.3).
 auto Control::learn_record(Microseconds now, Partition& partition, Record const& record, ControlOutput& output)
     -> void {
-    with_parts(now, output, [&](Context& context) { partition.learn(context, record); });
+    with_partitions(now, output, [&](Context& context) { partition.learn(context, record); });
 }
 
 // Only a committed copy of a leader with a valid lease is published.
@@ -23,7 +23,7 @@
         if (!partition.committed || !partition.has_lease(membership.self.identity, now)) continue;
         auto const changed = partition.committed->sequence > item.copy.sequence;
         if (changed) {
-            remember(item);
+            keep_as_base(item);
             item.copy = *partition.committed;
             learn_namings(static_cast<int>(index), now);
         }
@@ -36,18 +36,18 @@
         }
         if (!changed) continue;
         output.news = true;
-        answer_waiting(now, static_cast<int>(index), output);
+        answer_held(now, static_cast<int>(index), output);
     }
 }
 
 // After an answer that was held the next request is held as well. The same is true for a
 // relay with a fresh proof, which answers once it gets an update from the leader.
-auto Control::next_is_held(PartitionNews const& item, int partition, Microseconds now) const -> bool {
+auto Control::next_request_held(PartitionNews const& item, int partition, Microseconds now) const -> bool {
     auto const relayed = item.asked_relay && now - item.proven_at < hold_limit(partition);
     return relayed || now - item.asked_at > hold_limit(partition) / 3;
 }
 
-auto Control::answer_overdue(Microseconds now, ControlOutput& output) -> void {
+auto Control::answer_expired(Microseconds now, ControlOutput& output) -> void {
     auto waiting = std::move(waiting_asks);
     waiting_asks.clear();
     for (auto const& item : waiting) {
@@ -56,7 +56,7 @@
     }
 }
 
-auto Control::answer_waiting(Microseconds now, int partition, ControlOutput& output) -> void {
+auto Control::answer_held(Microseconds now, int partition, ControlOutput& output) -> void {
     auto waiting = std::move(waiting_asks);
     waiting_asks.clear();
     for (auto const& entry : waiting) {
@@ -104,13 +104,13 @@
 
 auto Control::take_news(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
-    if (answer.token != item.ask_token || item.ask_token == 0) return take_late(now, answer, output);
+    if (answer.token != item.ask_token || item.ask_token == 0) return take_late_answer(now, answer, output);
     pass_by(item, true);
     item.unanswered = 0;
     take_answer(now, item, answer, item.asked_at, output);
     if (item.asked_relay && now - item.proven_at > 2 * hold_limit(answer.partition))
         item.direct_until = now + times.direct;  // the relay is behind or partitioned from the leader
-    if (settings.core && load_choice.relayed) answer_waiting(now, answer.partition, output);
+    if (settings.core && load_choice.relayed) answer_held(now, answer.partition, output);
 }
 
 // The age of a proof counts from its own request, however late the answer is; newer content is always accepted.
@@ -126,7 +126,7 @@
 }
 
 // An answer to an earlier request: a newer one was sent since, or the same one went to two nodes.
-auto Control::take_late(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
+auto Control::take_late_answer(Microseconds now, NewsAnswer const& answer, ControlOutput& output) -> void {
     auto& item = news[static_cast<std::size_t>(answer.partition)];
     auto* asked = past_ask(item, answer.token);
     if (asked == nullptr) {
@@ -148,7 +148,7 @@
     auto made = apply_news(item, *answer.copy);
     item.whole_wanted = !made.has_value();
     if (!made) return;
-    remember(item);
+    keep_as_base(item);
     item.copy.sequence = answer.copy->sequence;
     item.copy.document = std::move(*made);
     item.copy.outcomes.clear();
@@ -173,7 +173,7 @@
 }
 
 // Whether a request may be sent now: none is outstanding, or the outstanding one timed out (it is given up here).
-auto Control::ask_overdue(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool {
+auto Control::may_request_update(PartitionNews& item, int partition, Microseconds now, ControlOutput& output) -> bool {
     if (item.ask_token == 0) return true;
     if (now - item.asked_at < (partition == configuration_partition ? times.ask_limit : times.service_ask_limit))
         return false;
@@ -217,7 +217,7 @@
         if (resting && index != configuration_partition && index != resting_partition) continue;
         if (resting && now - item.asked_at < times.resting_interval) continue;
         if (index == resting_partition && !settings.rests && !settings.core) continue;
-        if (!ask_overdue(item, static_cast<int>(index), now, output)) continue;
+        if (!may_request_update(item, static_cast<int>(index), now, output)) continue;
         auto const target = news_target(item, static_cast<int>(index), now);
         if (target.empty()) continue;
         ++news_counts.asked;
--- a/source/control/partition_news.cpp
+++ b/source/control/partition_news.cpp
@@ -26,7 +26,7 @@
     return found == item.past_asks.end() ? nullptr : &*found;
 }
 
-auto remember(PartitionNews& item) -> void {
+auto keep_as_base(PartitionNews& item) -> void {
     if (item.copy.document.empty()) return;
     item.past.emplace_back(item.copy.sequence, item.copy.document);
     auto const bytes = [&] {
@@ -37,7 +37,7 @@
     while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
 }
 
-auto copy_for(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy {
+auto make_update(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy {
     auto const& fresh = item.copy.document;
     auto const whole = [&] { return NewsCopy{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
     auto const held =
@@ -52,7 +52,7 @@
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
-    auto made = copy_for(item, ask);
+    auto made = make_update(item, ask);
     if (!made.whole) item.told = {ask.have, made};
     return made;
 }
--- a/source/control/partition_news.hpp
+++ b/source/control/partition_news.hpp
@@ -87,12 +87,12 @@
 // Finds a past request by its token; null if there is none.
 auto past_ask(PartitionNews& item, std::uint64_t token) -> PastAsk*;
 // The update for a request: the whole document, or the difference from the requester's version if that is smaller.
-auto copy_for(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy;
-// Like copy_for, but a difference that many nodes request is computed once.
+auto make_update(PartitionNews const& item, NewsAsk const& ask) -> NewsCopy;
+// Like make_update, but a difference that many nodes request is computed once.
 auto copy_told(PartitionNews& item, NewsAsk const& ask) -> NewsCopy;
 // The resulting document; nothing if the difference or its digest does not match the document held.
 auto apply_news(PartitionNews const& item, NewsCopy const& news) -> std::optional<std::string>;
 // Keeps the present document as a base for differences, before it is replaced.
-auto remember(PartitionNews& item) -> void;
+auto keep_as_base(PartitionNews& item) -> void;
 
 }  // namespace dockrock
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -32,7 +32,7 @@
     while (!finished) {
         co_await pause(100 * one_millisecond);
         if (!wanted->load()) {
-            in_control([this, wanted] { *wanted = control.wants_list(clock_now()); });
+            in_control([this, wanted] { *wanted = control.list_read_due(clock_now()); });
             continue;
         }
         *wanted = false;
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -206,7 +206,7 @@
     act(node, [&] {
         auto& table = node.load.table;
         auto const number = static_cast<std::uint64_t>(now);
-        table.relayed = node.control.judge_load_relays();
+        table.relayed = node.control.update_load_relaying();
         table.fleet_nodes = node.control.nodes_placing();
         if (table.relayed)
             return node.control.tell_load(
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -12,7 +12,7 @@
     return item;
 }
 auto next_of(PartitionNews item, std::string document) -> PartitionNews {
-    remember(item);
+    keep_as_base(item);
     ++item.copy.sequence.number;
     item.copy.document = std::move(document);
     return item;
@@ -27,23 +27,23 @@
     for (auto const& fresh :
          {std::string(10'000, 'a') + "other" + std::string(10'000, 'b'), base + "tail", "head" + base, base.substr(5),
           std::string(20'000, 'a'), std::string(), base + base}) {
-        auto const news = copy_for(next_of(asker, fresh), ask);
+        auto const news = make_update(next_of(asker, fresh), ask);
         CHECK(apply_news(asker, news) == fresh);
         CHECK(news.text.size() + size_of(news.edits) <= fresh.size());
     }
-    CHECK_FALSE(copy_for(next_of(asker, base + "tail"), ask).whole);
-    auto const appended = copy_for(next_of(asker, base + "tail"), ask).edits;
+    CHECK_FALSE(make_update(next_of(asker, base + "tail"), ask).whole);
+    auto const appended = make_update(next_of(asker, base + "tail"), ask).edits;
     REQUIRE(appended.size() == 1);
     CHECK(appended.front().put == "tail");
     ask.whole = true;
-    CHECK(copy_for(next_of(asker, base + "tail"), ask).whole);
+    CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
     ask.whole = false;
     ask.have = {1, 0};  // not among those remembered
-    CHECK(copy_for(next_of(asker, base + "tail"), ask).whole);
+    CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
 }
 
 TEST_CASE("a difference that does not fit what is held is not applied") {
-    auto const news = copy_for(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
+    auto const news = make_update(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
         NewsAsk ask;
         ask.have = {1, 1};
         return ask;
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -82,7 +82,7 @@
     auto const now = local(index);
     auto& control = world.nodes[index]->control;
     match(index);
-    if (!plane.reading_list && control.wants_list(now)) read_list(index);
+    if (!plane.reading_list && control.list_read_due(now)) read_list(index);
     if (now - plane.last_reports > 250 * one_millisecond) {
         plane.last_reports = now;
         ask_reports(index);
@@ -103,7 +103,7 @@
     auto& burden = plane.granting.burden;
     auto const now = local(index);
     auto const number = static_cast<std::uint64_t>(now);
-    burden.relayed = control.judge_load_relays();
+    burden.relayed = control.update_load_relaying();
     burden.fleet_nodes = control.nodes_placing();
     if (burden.relayed != plane.load_relayed) {  // an empty last word goes the old way
         plane.load_relayed = burden.relayed;
--- a/tests/storm_test.cpp
+++ b/tests/storm_test.cpp
@@ -167,7 +167,7 @@
         // A node that has heard of no leader since the loss refuses at once, and sends nothing.
         auto const& asked = world->nodes[5]->control;
         REQUIRE(world->run_until_true(
-            [&] { return !asked.out_of_contact(world->local(*world->nodes[5]), configuration_partition); },
+            [&] { return !asked.leader_unreachable(world->local(*world->nodes[5]), configuration_partition); },
             5 * one_second));
         auto const holder = *world->leader(configuration_partition);
         auto const lost = world->put(5, "lost answer", "", "lost-" + std::to_string(seed));
