--- a/source/control/control_news.cpp
+++ b/source/control/control_news.cpp
@@ -19,7 +19,7 @@
         if (partition.votes.decided.term > item.record.term) item.record = partition.votes.decided;
         else if (settings.core && item.record.term > partition.votes.decided.term)
             learn_record(now, partition, item.record, output);
-        if (!watches[index].look(partition, item, membership.self.identity, now)) continue;
+        if (!watches[index].check(partition, item, membership.self.identity, now)) continue;
         if (!partition.committed || !partition.has_lease(membership.self.identity, now)) continue;
         auto const changed = partition.committed->sequence > item.copy.sequence;
         if (changed) {
--- a/source/control/partition_watch.cpp
+++ b/source/control/partition_watch.cpp
@@ -4,7 +4,7 @@
 
 namespace dockrock {
 
-auto PartitionWatch::look(
+auto PartitionWatch::check(
     Partition const& partition, PartitionNews const& news, std::string const& self, Microseconds now) -> bool {
     auto const leased = partition.has_lease(self, now);
     auto const& decided = partition.votes.decided;
@@ -13,10 +13,10 @@
     if (known > 0 && leader != self) other_holder_at = now;
     auto const terms = invariants::check(invariants::TermFacts{highest_term, known, leased, decided.term});
     highest_term = known;
-    return content_kept(partition, news, leased && partition.committed) && terms;
+    return content_unchanged(partition, news, leased && partition.committed) && terms;
 }
 
-auto PartitionWatch::content_kept(Partition const& partition, PartitionNews const& news, bool leased) -> bool {
+auto PartitionWatch::content_unchanged(Partition const& partition, PartitionNews const& news, bool leased) -> bool {
     auto const& text = news.copy.document;
     auto const moved = news.copy.sequence != in_force;
     if (moved || text.data() != document) {
--- a/source/control/partition_watch.hpp
+++ b/source/control/partition_watch.hpp
@@ -16,10 +16,11 @@
     Microseconds other_holder_at = -3'600 * one_second;  // when another node was last known as leader
 
     // To be called after each event; false if this node must not publish the partition.
-    auto look(Partition const& partition, PartitionNews const& news, std::string const& self, Microseconds now) -> bool;
+    auto check(Partition const& partition, PartitionNews const& news, std::string const& self, Microseconds now)
+        -> bool;
 
    private:
-    auto content_kept(Partition const& partition, PartitionNews const& news, bool leased) -> bool;
+    auto content_unchanged(Partition const& partition, PartitionNews const& news, bool leased) -> bool;
 };
 
 }  // namespace dockrock
