--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -112,8 +112,8 @@
     last_forming = now;
     for (auto& partition : partitions) {
         auto const& record = partition.votes.decided;
-        auto const in_group = !record.leader.empty() || record.voters.empty();
-        if (in_group || partition.proposal || (record.term != 0 && !forms_anew)) continue;
+        auto const nothing_to_propose = !record.leader.empty() || record.voters.empty();
+        if (nothing_to_propose || partition.proposal || (record.term != 0 && !forms_anew)) continue;
         partition.propose(context, first_group(membership, partition));
     }
 }
