--- a/source/control/control_kept.cpp
+++ b/source/control/control_kept.cpp
@@ -12,7 +12,7 @@
 }
 
 auto Control::kept_read(KeptBatch batch) -> void {
-    auto const known = kept_feed.judge(batch) == KeptFeed::Verdict::known;
+    auto const known = kept_feed.advance_cursor(batch) == KeptFeed::BatchPosition::known;
     if (!known && settings.core) kept_feed.add(std::move(batch), true);
 }
 
--- a/source/control/kept_feed.cpp
+++ b/source/control/kept_feed.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr auto log_bytes_most = std::size_t{256} << 10U;  // several seconds of events
+constexpr auto max_log_bytes = std::size_t{256} << 10U;  // several seconds of events
 constexpr auto batch_overhead = std::size_t{128};
 constexpr auto part_letters = std::size_t{16};
 
@@ -55,21 +55,21 @@
 
 // A batch that overlaps the known events is applied as a whole: the last change of
 // each part is the same either way.
-auto KeptFeed::judge(KeptBatch const& batch) -> Verdict {
+auto KeptFeed::advance_cursor(KeptBatch const& batch) -> BatchPosition {
     auto& cursor = cursors[batch.source];
     auto const same_life = cursor.life == batch.life;
-    if (same_life && batch.next <= cursor.next) return Verdict::known;
+    if (same_life && batch.next <= cursor.next) return BatchPosition::known;
     auto const known_to = same_life ? cursor.next : 0;
     auto const first = cursor.life.empty();
     cursor = {batch.life, batch.next};
-    if (batch.from > known_to) return Verdict::gap;
-    return same_life || first ? Verdict::follows : Verdict::gap;
+    if (batch.from > known_to) return BatchPosition::gap;
+    return same_life || first ? BatchPosition::follows : BatchPosition::gap;
 }
 
 auto KeptFeed::add(KeptBatch batch, bool own) -> void {
     log_bytes += size_of(batch);
     log.push_back({next_position++, own, std::move(batch)});
-    while (log.size() > 1 && log_bytes > log_bytes_most) {
+    while (log.size() > 1 && log_bytes > max_log_bytes) {
         log_bytes -= size_of(log.front().batch);
         log.pop_front();
     }
@@ -102,8 +102,9 @@
     reading.position = reading.feed == answer.feed ? std::max(reading.position, answer.position) : answer.position;
     reading.feed = answer.feed;
     for (auto& batch : answer.batches) {
-        auto const verdict = judge(batch);
-        if (verdict != Verdict::known) taken.push_back({std::move(batch), verdict == Verdict::gap});
+        auto const batch_position = advance_cursor(batch);
+        if (batch_position != BatchPosition::known)
+            taken.push_back({std::move(batch), batch_position == BatchPosition::gap});
     }
     return taken;
 }
--- a/source/control/kept_feed.hpp
+++ b/source/control/kept_feed.hpp
@@ -37,7 +37,11 @@
         std::string life;
         std::uint64_t next = 0;
     };
-    enum class Verdict { known, follows, gap };  // of a batch: already known, next one, events before it are missing
+    enum class BatchPosition {
+        known,
+        follows,
+        gap
+    };  // of a batch: already known, next one, events before it are missing
     struct Entry {
         std::uint64_t position = 0;
         bool own = false;  // read by this node itself
@@ -62,7 +66,7 @@
     std::map<std::string, Reading> readings;  // by the identity of the node that has the log
 
     // Compares a batch with the cursor of its source and advances the cursor.
-    auto judge(KeptBatch const& batch) -> Verdict;
+    auto advance_cursor(KeptBatch const& batch) -> BatchPosition;
     auto add(KeptBatch batch, bool own) -> void;
     auto answer(FeedAsk const& ask) const -> FeedAnswer;
     auto ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk;
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -57,16 +57,18 @@
 
 TEST_CASE("a batch is taken once, an overlapping one whole, and a gap, a restart or another's start is told") {
     KeptFeed feed;
-    CHECK(feed.judge(batch(0, 5)) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(0, 5)) == KeptFeed::Verdict::known);
-    CHECK(feed.judge(batch(3, 8)) == KeptFeed::Verdict::follows);  // two readers that disagree
-    CHECK(feed.judge(batch(5, 7)) == KeptFeed::Verdict::known);
-    CHECK(feed.judge(batch(9, 10)) == KeptFeed::Verdict::gap);
-    CHECK(feed.judge(batch(10, 12)) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(0, 2, "life-2")) == KeptFeed::Verdict::gap);  // it restarted
-    CHECK(feed.judge(batch(2, 3, "life-2")) == KeptFeed::Verdict::follows);
-    CHECK(feed.judge(batch(7, 9, "life-1", "replica-2")) == KeptFeed::Verdict::gap);  // never heard of before
-    CHECK(feed.judge(batch(0, 9, "life-1", "replica-3")) == KeptFeed::Verdict::follows);
+    CHECK(feed.advance_cursor(batch(0, 5)) == KeptFeed::BatchPosition::follows);
+    CHECK(feed.advance_cursor(batch(0, 5)) == KeptFeed::BatchPosition::known);
+    CHECK(feed.advance_cursor(batch(3, 8)) == KeptFeed::BatchPosition::follows);  // two readers that disagree
+    CHECK(feed.advance_cursor(batch(5, 7)) == KeptFeed::BatchPosition::known);
+    CHECK(feed.advance_cursor(batch(9, 10)) == KeptFeed::BatchPosition::gap);
+    CHECK(feed.advance_cursor(batch(10, 12)) == KeptFeed::BatchPosition::follows);
+    CHECK(feed.advance_cursor(batch(0, 2, "life-2")) == KeptFeed::BatchPosition::gap);  // it restarted
+    CHECK(feed.advance_cursor(batch(2, 3, "life-2")) == KeptFeed::BatchPosition::follows);
+    CHECK(
+        feed.advance_cursor(batch(7, 9, "life-1", "replica-2")) ==
+        KeptFeed::BatchPosition::gap);  // never heard of before
+    CHECK(feed.advance_cursor(batch(0, 9, "life-1", "replica-3")) == KeptFeed::BatchPosition::follows);
 }
 
 TEST_CASE("questions and answers that are lost, late or repeated lose no batch and repeat none") {
@@ -113,7 +115,7 @@
     reader.id = 1;
     other.id = 2;
     auto const read = [&](std::uint64_t from, std::uint64_t next) {
-        reader.judge(batch(from, next));
+        reader.advance_cursor(batch(from, next));
         reader.add(batch(from, next), true);
     };
     auto const pass_on = [&] {
@@ -138,7 +140,7 @@
     CHECK_FALSE(after.front().gap);
     // The reader is lost, and the other one goes on from where it knows the source.
     CHECK(other.cursors["replica-1"].next == 9);
-    other.judge(batch(9, 11));
+    other.advance_cursor(batch(9, 11));
     other.add(batch(9, 11), true);
     auto const taken_over = pull(node, other, "other");
     REQUIRE(taken_over.size() == 1);
