--- a/source/control/list_pace.hpp
+++ b/source/control/list_pace.hpp
@@ -27,17 +27,17 @@
     std::size_t pages = 1;  // of the last read
     Microseconds began_at = -3'600 * one_second;
     Microseconds not_before = -3'600 * one_second;
-    std::optional<Microseconds> turn;  // time of this node's read, drawn at random once its list is old
+    std::optional<Microseconds> read_at;  // time of this node's read, drawn at random once its list is old
     Microseconds backoff = 0;
 
-    auto bound(Microseconds drain, std::int64_t calls) -> void;
+    auto configure(Microseconds drain, std::int64_t calls) -> void;
     auto due(ListView const& view, Microseconds now, Random& random) -> bool;
     auto began(Microseconds now) -> void;
     auto good(std::size_t read_pages) -> void;
     auto failed(ListView const& view, Microseconds now, Random& random) -> void;
     // Minimum time between two calls of one node.
     auto call_gap() const -> Microseconds { return one_second * 5 / (4 * calls_each_second); }
-    auto spread_over(std::size_t members) const -> Microseconds;
+    auto spread_window(std::size_t members) const -> Microseconds;
 };
 
 }  // namespace dockrock
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -56,7 +56,7 @@
 
 auto Node::relay_list_loop() -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
-    list_pace.bound(settings.bounds.drain, settings.platform_calls);
+    list_pace.configure(settings.bounds.drain, settings.platform_calls);
     auto wanted = std::make_shared<std::atomic<bool>>(false);
     auto const view = [this](Microseconds now) {
         ListView seen;
--- a/tests/weights_duty_test.cpp
+++ b/tests/weights_duty_test.cpp
@@ -85,7 +85,7 @@
 TEST_CASE("a list that can't be read is asked for ever more rarely, and thirteen nodes stay within the calls") {
     auto random = Random{3};
     std::vector<ListPace> paces(13);
-    for (auto& pace : paces) pace.bound(3 * one_second, 47);
+    for (auto& pace : paces) pace.configure(3 * one_second, 47);
     auto calls = std::vector<Microseconds>();
     auto view = ListView{false, false, 0, 13};
     for (auto now = 100 * one_second; now < 160 * one_second; now += 50 * one_millisecond)
@@ -108,7 +108,7 @@
 TEST_CASE("a node without news of the list reads it itself within the drain bound, the leader every interval") {
     auto random = Random{5};
     auto pace = ListPace();
-    pace.bound(3 * one_second, 47);
+    pace.configure(3 * one_second, 47);
     CHECK(pace.interval == 900 * one_millisecond);
     auto view = ListView{false, false, 10 * one_second, 13};
     auto now = 10 * one_second;
