--- a/tests/anew_test.cpp
+++ b/tests/anew_test.cpp
@@ -1,4 +1,4 @@
-// Every core disk lost while edge nodes live. docs/design.md section 5.9.
+// Recovery after every core disk is lost while edge nodes are alive. docs/design.md section 5.9.
 #include "world_helpers.hpp"
 
 using namespace dockrock;
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-TEST_CASE("every core disk lost: formed anew on an operator's order, from the newest copy that edges hold") {
+TEST_CASE("every core disk lost: recovery on an operator's order, from the newest copy that edge nodes hold") {
     for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
         auto world = formed(seed);
         REQUIRE(put_and_wait(*world, 4, "first") == 200);
@@ -40,7 +40,7 @@
     }
 }
 
-TEST_CASE("forming anew is refused while a voter of the fleet that was answers, and where no fleet was") {
+TEST_CASE("recovery is refused while a voter of the former fleet answers, and if there was no fleet") {
     for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
         auto world = formed(seed);
         REQUIRE(put_and_wait(*world, 4, "first") == 200);
@@ -49,7 +49,7 @@
         for (auto index = std::size_t{0}; index < 3; ++index) world->kill(index, true);
         for (auto index = std::size_t{0}; index < 3; ++index) world->start(index);
         world->run_until(world->now + 5 * one_second);
-        CHECK(order_anew(*world, 5) == 409);  // the fourth still answers
+        CHECK(order_anew(*world, 5) == 409);  // the fourth core node still answers
         world->kill(3, false);
         world->run_until(world->now + 5 * one_second);
         CHECK(order_anew(*world, 5) == 200);
--- a/tests/kept_feed_test.cpp
+++ b/tests/kept_feed_test.cpp
@@ -1,4 +1,4 @@
-// Changes of kept prompts on their way to all nodes. docs/design.md section 9.9.
+// Distribution of prompt cache changes to all nodes. docs/design.md section 9.9.
 #include <catch2/catch.hpp>
 
 #include "control/kept_feed.hpp"
@@ -19,7 +19,7 @@
     member.core = true;
     return member;
 }
-// One question and its answer; what came of it.
+// One request and its answer; returns the batches taken.
 auto pull(KeptFeed& reader, KeptFeed const& relay, std::string const& name, bool own = false)
     -> std::vector<KeptFeed::Taken> {
     return reader.take(name, relay.answer(reader.ask(name, own, one_second)));
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("changes are written and read back; what is no such text is refused") {
+TEST_CASE("changes are encoded and decoded; an invalid text is rejected") {
     auto const changes =
         std::vector<KeptChange>{{0, 0, true}, {~std::uint64_t{0}, 25, false}, {0x0123456789abcdefULL, 3, true}};
     CHECK(read_changes(write_changes(changes)) == changes);
@@ -36,7 +36,7 @@
         CHECK_FALSE(read_changes(text).has_value());
 }
 
-TEST_CASE("each source is read by one core node, of its zone where there is one, and by another once that is gone") {
+TEST_CASE("each source is read by one core node, in its zone if possible, and by another one once that is gone") {
     auto cores = std::vector<Member>{core("a", "north"), core("b", "north"), core("c", "south")};
     std::map<std::string, int> shares;
     for (auto number = 0; number < 200; ++number) {
@@ -55,7 +55,7 @@
     CHECK(reader_of("replica-1", "south", {}) == nullptr);
 }
 
-TEST_CASE("a batch is taken once, an overlapping one whole, and a gap, a restart or another's start is told") {
+TEST_CASE("a batch is taken once, an overlapping one as a whole, and gaps and restarts are reported") {
     KeptFeed feed;
     CHECK(feed.advance_cursor(batch(0, 5)) == KeptFeed::BatchPosition::follows);
     CHECK(feed.advance_cursor(batch(0, 5)) == KeptFeed::BatchPosition::known);
@@ -63,15 +63,14 @@
     CHECK(feed.advance_cursor(batch(5, 7)) == KeptFeed::BatchPosition::known);
     CHECK(feed.advance_cursor(batch(9, 10)) == KeptFeed::BatchPosition::gap);
     CHECK(feed.advance_cursor(batch(10, 12)) == KeptFeed::BatchPosition::follows);
-    CHECK(feed.advance_cursor(batch(0, 2, "life-2")) == KeptFeed::BatchPosition::gap);  // it restarted
+    CHECK(feed.advance_cursor(batch(0, 2, "life-2")) == KeptFeed::BatchPosition::gap);  // the source restarted
     CHECK(feed.advance_cursor(batch(2, 3, "life-2")) == KeptFeed::BatchPosition::follows);
     CHECK(
-        feed.advance_cursor(batch(7, 9, "life-1", "replica-2")) ==
-        KeptFeed::BatchPosition::gap);  // never heard of before
+        feed.advance_cursor(batch(7, 9, "life-1", "replica-2")) == KeptFeed::BatchPosition::gap);  // an unknown source
     CHECK(feed.advance_cursor(batch(0, 9, "life-1", "replica-3")) == KeptFeed::BatchPosition::follows);
 }
 
-TEST_CASE("questions and answers that are lost, late or repeated lose no batch and repeat none") {
+TEST_CASE("lost, late or repeated requests and answers lose no batch and repeat none") {
     for (auto seed = std::uint64_t{1}; seed <= 40; ++seed) {
         auto random = Random{seed};
         KeptFeed relay;
@@ -94,7 +93,7 @@
                 relay.add(std::move(made), true);
             }
             auto const ask = node.ask("relay", false, one_second);
-            if (random.below(4) == 0) continue;  // the question is lost
+            if (random.below(4) == 0) continue;  // the request is lost
             auto answer = relay.answer(ask);
             if (random.below(4) == 0) late.push_back(answer);
             if (random.below(4) != 0) take(std::move(answer));
@@ -130,7 +129,7 @@
     REQUIRE(through_other.size() == 1);
     CHECK_FALSE(through_other.front().gap);
     CHECK(through_other.front().batch.next == 6);
-    CHECK(other.answer({0, 0, true}).batches.empty());  // nothing goes round between core nodes
+    CHECK(other.answer({0, 0, true}).batches.empty());  // core nodes forward only what they read themselves
     other = KeptFeed();                                 // it restarts with an empty log
     other.id = 3;
     read(6, 9);
@@ -138,7 +137,7 @@
     auto const after = pull(node, other, "other");
     REQUIRE(after.size() == 1);
     CHECK_FALSE(after.front().gap);
-    // The reader is lost, and the other one goes on from where it knows the source.
+    // The reader is lost, and the other one continues from its cursor of the source.
     CHECK(other.cursors["replica-1"].next == 9);
     other.advance_cursor(batch(9, 11));
     other.add(batch(9, 11), true);
@@ -147,7 +146,7 @@
     CHECK_FALSE(taken_over.front().gap);
 }
 
-TEST_CASE("a log holds bounded bytes; whoever was away longer is told of a gap") {
+TEST_CASE("a log is limited in bytes; a node that was away longer gets a gap") {
     KeptFeed relay;
     KeptFeed node;
     relay.id = 1;
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -5,9 +5,9 @@
 
 using namespace dockrock;
 
-// Design 8.3: what matching may grant under a proof, the last checks let through;
-// else a request goes round between the two, and nothing else gets the processor.
-TEST_CASE("the last checks hold the proof limit that matching holds", "[course]") {
+// Design 8.3: the checks before sending accept every request that scheduling may grant under a proof.
+// Otherwise a request loops between the two and takes all processor time.
+TEST_CASE("the checks before sending use the same proof limit as scheduling", "[course]") {
     auto form = RelayForm();
     auto node = std::make_unique<Node>();
     node->form = &form;
@@ -20,7 +20,7 @@
     node->table.granting.burden.take_list(fresh->list);
     node->table.granting.burden.take_weights("replica", "", false);
     auto const now = clock_now();
-    node->proven_at = now - 3 * one_second;  // older than the product's own limit
+    node->proven_at = now - 3 * one_second;  // older than the default limit
     auto course = Course();
     course.ticket.number = 1;
     course.ticket.body.model = "model";
--- a/tests/late_news_test.cpp
+++ b/tests/late_news_test.cpp
@@ -1,4 +1,4 @@
-// Answers to questions that were asked anew. docs/design.md section 8.1.
+// Answers to update requests that were sent again meanwhile. docs/design.md section 8.1.
 #include <catch2/catch.hpp>
 
 #include "control/control.hpp"
@@ -9,7 +9,7 @@
 
 constexpr auto step = 20 * one_millisecond;
 
-// A node alone that knows a leader and another core node, and asks them for the configuration.
+// A single node that knows a leader and another core node, and requests the configuration from them.
 struct Asker {
     Control control;
     Microseconds now = one_second;
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("a late answer is taken, and its proof counts from its own question", "[news]") {
+TEST_CASE("a late answer is taken, and its proof counts from its own request", "[news]") {
     auto asker = Asker();
     asker.run(step);
     REQUIRE(asker.asked.size() == 1);
@@ -69,7 +69,7 @@
     CHECK(asker.held().proven_at == first_at - 10 * one_millisecond);
     CHECK(asker.control.news_counts.late == 1);
     auto const proven = asker.held().proven_at;
-    asker.answer(asker.asked.front().second, {1, 4}, -one_second, "old");  // never back
+    asker.answer(asker.asked.front().second, {1, 4}, -one_second, "old");  // never replaced by an older one
     CHECK(asker.held().copy.document == "new");
     CHECK(asker.held().proven_at == proven);
     auto stranger = asker.asked.front().second;
@@ -79,7 +79,7 @@
     CHECK(asker.control.news_counts.unknown == 1);
 }
 
-TEST_CASE("where the leader does not answer, it and another are asked at once, and it is doubted", "[news]") {
+TEST_CASE("if the leader does not answer, it and another node are asked, and its connection is checked", "[news]") {
     auto asker = Asker();
     asker.run(step);
     REQUIRE(asker.asked.size() == 1);
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -1,4 +1,4 @@
-// News as differences. docs/design.md section 8.
+// Document updates as differences. docs/design.md section 8.
 #include "world_helpers.hpp"
 
 using namespace dockrock;
@@ -19,7 +19,7 @@
 }
 }  // namespace
 
-TEST_CASE("a difference makes the very document, and is sent only where it is smaller") {
+TEST_CASE("a difference yields the exact document, and is sent only if it is smaller") {
     auto const base = std::string(10'000, 'a') + "middle" + std::string(10'000, 'b');
     auto const asker = held(base);
     NewsAsk ask;
@@ -38,11 +38,11 @@
     ask.whole = true;
     CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
     ask.whole = false;
-    ask.have = {1, 0};  // not among those remembered
+    ask.have = {1, 0};  // not among the earlier documents held
     CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
 }
 
-TEST_CASE("a difference that does not fit what is held is not applied") {
+TEST_CASE("a difference that does not match the document held is not applied") {
     auto const news = make_update(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
         NewsAsk ask;
         ask.have = {1, 1};
@@ -84,8 +84,8 @@
     CHECK(world->violations.empty());
 }
 
-TEST_CASE("a leader that lost its lease for a while tells its list to all, though it read it meanwhile") {
-    // A list was known by a number alone, and two texts could bear the same.
+TEST_CASE("a leader that lost its lease for a while distributes the list that it read meanwhile") {
+    // Lists were identified by a number only, and two texts could have the same one.
     auto world = formed(5);
     auto const holder = *world->leader(configuration_partition);
     auto const read = [&](std::size_t index, std::string const& text) {
--- a/tests/resting_test.cpp
+++ b/tests/resting_test.cpp
@@ -17,17 +17,17 @@
     for (auto now = from; now < from + length; now += 500 * one_millisecond) {
         auto seen = nodes;
         for (auto& node : seen)
-            if (set.contains(node.identity)) node.rate = 0.0;  // callers are sent elsewhere
+            if (set.contains(node.identity)) node.rate = 0.0;  // clients are sent to other nodes
         if (auto const wanted = resting.step(seen, set, now)) set = *wanted;
     }
     return set;
 }
 }  // namespace
 
-TEST_CASE("in light traffic nodes rest one at a time, never below one an area and one to lose") {
+TEST_CASE("in light traffic nodes rest one at a time, never below one per area and one spare") {
     auto resting = Resting();
     auto const nodes = edges(0.5);
-    CHECK(settle(resting, nodes, {}, one_second, 3 * one_second).empty());  // not before it is calm
+    CHECK(settle(resting, nodes, {}, one_second, 3 * one_second).empty());  // not before load was low for long enough
     auto const set = settle(resting, nodes, {}, 4 * one_second, 60 * one_second);
     CHECK(set.size() == 4);
     std::map<std::string, int> awake;
@@ -36,7 +36,7 @@
     CHECK(awake.size() == 4);
 }
 
-TEST_CASE("a sudden rise wakes what is needed in one step, a lost node is made good") {
+TEST_CASE("a sudden rise wakes the needed nodes in one step, a lost node is replaced") {
     auto resting = Resting();
     auto const set = settle(resting, edges(0.5), {}, one_second, 60 * one_second);
     auto busy = edges(0.0);
@@ -44,7 +44,7 @@
         if (!set.contains(node.identity)) node.rate = 30.0;
     auto const woken = resting.step(busy, set, 70 * one_second);
     REQUIRE(woken);
-    CHECK(woken->size() <= 1);  // 150 tickets/s, twice over, 40 a node: eight and one to lose
+    CHECK(woken->size() <= 1);  // 150 requests/s, headroom 2, 40 per node: eight and one spare
     auto fewer = edges(0.5);
     std::erase_if(fewer, [&](auto const& node) { return node.identity == "e0" || node.identity == "e4"; });
     for (auto& node : fewer)
@@ -55,7 +55,7 @@
     CHECK(count >= resting.least_awake(fewer));
 }
 
-TEST_CASE("a resting node that is given traffic is awake, and traffic that comes and goes does not make nodes flap") {
+TEST_CASE("a resting node that gets traffic counts as awake, and varying traffic does not make nodes flap") {
     auto resting = Resting();
     auto set = settle(resting, edges(0.5), {}, one_second, 60 * one_second);
     auto nodes = edges(0.5);
--- a/tests/small_service_test.cpp
+++ b/tests/small_service_test.cpp
@@ -1,4 +1,4 @@
-// What a service of few replicas keeps serving while named weights are loaded.
+// How many replicas of a small service keep serving while target weights are loaded.
 // docs/design.md section 11.1.
 #include "rollout_helpers.hpp"
 
@@ -10,7 +10,7 @@
 constexpr auto bound = 15 * one_second;
 constexpr auto heard = 100 * one_millisecond;  // a step or two of the leader
 
-// How many replicas are sent new requests now.
+// The number of replicas that get new requests now.
 auto serving(Pool const& pool) -> int {
     auto states = WeightsWords();
     pool.rollout.add_states("m", states);
@@ -47,7 +47,7 @@
         if (!first.empty()) return end;
         first = order.replica;
         pool.replicas[first].silent = true;
-        pool.replicas[first].loading = 0;  // it never came
+        pool.replicas[first].loading = 0;  // the order was lost
         return OrderResult::unknown;
     };
     pool.name_version(2);
@@ -58,7 +58,8 @@
     CHECK(pool.open_after(bound - weights_margin + heard) == 0);
 }
 
-TEST_CASE("without a bound the last replica that serves waits for a silent one only while that holds its place") {
+TEST_CASE(
+    "without a bound the last replica that serves waits for a silent one only while that occupies its load slot") {
     auto pool = Pool(2);
     auto first = std::string();
     pool.bend = [&](auto const& order, auto end) {
--- a/tests/version_late_test.cpp
+++ b/tests/version_late_test.cpp
@@ -1,4 +1,4 @@
-// Older weights near the end of the time in which named ones serve everywhere.
+// Replicas with older weights near the deadline by which target weights serve everywhere.
 // docs/platform.md section 8, docs/design.md section 11.
 #include <catch2/catch.hpp>
 
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-TEST_CASE("near the bound of named weights, replicas of older ones get nothing new") {
+TEST_CASE("near the bound of target weights, replicas with older ones get no new requests") {
     auto guard = guard_of_twelve_seconds();
-    CHECK_FALSE(guard.is_overdue("m", 1, known_at + 11 * one_second));  // nothing known since when
+    CHECK_FALSE(guard.is_overdue("m", 1, known_at + 11 * one_second));  // no target known yet
     guard.learn_targets({{"m", 2}}, known_at);
     CHECK_FALSE(guard.is_overdue("m", 1, known_at + 9 * one_second));
     CHECK(guard.is_overdue("m", 1, known_at + 10 * one_second));
@@ -29,7 +29,7 @@
     CHECK_FALSE(guard.is_overdue("other", 1, known_at + 60 * one_second));
 }
 
-TEST_CASE("a version named later gives older weights no more time") {
+TEST_CASE("a later target version does not extend the time of older weights") {
     auto guard = guard_of_twelve_seconds();
     guard.learn_targets({{"m", 2}}, known_at);
     guard.learn_targets({{"m", 3}}, known_at + 5 * one_second);
@@ -39,7 +39,7 @@
     CHECK(guard.is_overdue("m", 2, known_at + 15 * one_second));
 }
 
-TEST_CASE("a replica that is withheld is told of once, and again after it got something in between") {
+TEST_CASE("a withheld replica is reported once, and again after it was released in between") {
     auto guard = guard_of_twelve_seconds();
     CHECK_FALSE(guard.withhold("a", false));
     CHECK(guard.withhold("a", true));
@@ -51,7 +51,7 @@
     CHECK(guard.withhold("a", true));
 }
 
-TEST_CASE("a node judges its replicas anew at the very moment when the next one's weights get late") {
+TEST_CASE("a node checks its replicas again at the moment when the next one becomes overdue") {
     auto guard = guard_of_twelve_seconds();
     guard.learn_targets({{"m", 2}}, known_at);
     guard.learn_targets({{"m", 3}}, known_at + 2 * one_second);
@@ -68,7 +68,7 @@
     CHECK(guard.next_check_at == WeightsGuard::never);
 }
 
-TEST_CASE("what was named is waited for after a start, for models with weights and for a while") {
+TEST_CASE("after a start, a node waits a limited time for the target versions of models with weights") {
     auto guard = guard_of_twelve_seconds();
     CHECK(guard.target_pending("m", 3, known_at));
     CHECK(guard.target_pending("m", 3, known_at + 2 * one_second));
--- a/tests/version_namings_test.cpp
+++ b/tests/version_namings_test.cpp
@@ -1,4 +1,4 @@
-// What nodes tell each other of when versions were named. docs/design.md section 11.4.
+// Exchange of the times at which versions became targets. docs/design.md section 11.4.
 #include <catch2/catch.hpp>
 
 #include "control/version_namings.hpp"
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("a node that was told counts from the naming by its own clock, later by the message's way alone") {
+TEST_CASE("a node that gets an age counts from the target's time by its own clock, later only by the message delay") {
     auto const knows = knower();
     auto restarted = VersionNamings();
     auto const asked = named_at + 9 * one_second;
@@ -31,13 +31,13 @@
     CHECK(restarted.take(std::get<NamingAges>(*message).named, asked + way + skew));
     CHECK(*restarted.by_model["m"].superseded_at(1) == named_at + way + skew);
     CHECK(*restarted.by_model["m"].superseded_at(2) == named_at + 4 * one_second + way + skew);
-    // The same once more, on a longer way, changes nothing; nor does what the other is told in turn.
+    // The same age again with a longer delay changes nothing; nor does the answer to the other node.
     CHECK_FALSE(restarted.take(knows.ages(asked), asked + 5 * one_second + skew));
     auto other = knows;
     CHECK_FALSE(other.take(restarted.ages(asked + 6 * one_second + skew), asked + 6 * one_second));
 }
 
-TEST_CASE("nodes that tell each other for long come to no moment before the naming") {
+TEST_CASE("a long exchange between nodes never yields a moment before the target was set") {
     auto random = Random{7};
     auto nodes = std::vector<VersionNamings>(5);
     auto now = named_at;
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("an age that can't be counts as the nearest one that can, and first versions are never named") {
+TEST_CASE("an impossible age is clamped, and first versions are never targets") {
     auto node = VersionNamings();
     node.take({{"m", {{2, -5}, {3, 1'000'000 * one_second}, {1, 5}, {0, 5}, {-4, 5}}}}, named_at);
     CHECK(node.by_model["m"].at.size() == 2);
@@ -68,7 +68,7 @@
     CHECK(node.ages(named_at).size() == 1);
 }
 
-TEST_CASE("others are asked each second for a while after a version was new, and not otherwise") {
+TEST_CASE("other nodes are asked each second for a while after a new version, and not otherwise") {
     auto node = VersionNamings();
     CHECK_FALSE(node.ask_due(named_at));
     auto const asked_in = [&](Microseconds from, Microseconds length) {
@@ -85,11 +85,11 @@
     CHECK(asked_in(named_at + 70 * one_second, 60 * one_second) == 5);
 }
 
-TEST_CASE("a version that is told before the document names it is new to the node, and others are asked") {
+TEST_CASE("a version reported before the document has it is new to the node, and others are asked") {
     auto node = VersionNamings();
     node.take({{"m", {{3, 100 * one_millisecond}}}}, named_at);
     node.learn(R"({"m":3})", named_at + one_millisecond);
     CHECK(node.ask_due(named_at + one_millisecond));
     node.take({{"m", {{2, one_second}, {3, one_second}}}}, named_at + 20 * one_second);
-    CHECK_FALSE(node.ask_due(named_at + 20 * one_second));  // older ones are no news
+    CHECK_FALSE(node.ask_due(named_at + 20 * one_second));  // older versions are not new
 }
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -1,4 +1,4 @@
-// What the next holder of the duty knows of versions named and of orders under way.
+// What the next leader knows of target versions and of orders in progress.
 // docs/design.md sections 11.3 and 11.4.
 #include "control/weights_guard.hpp"
 #include "duty_helpers.hpp"
@@ -6,7 +6,7 @@
 using namespace dockrock;
 using namespace dockrock::simulation;
 
-TEST_CASE("the next holder counts from when the version was named and not from its own beginning") {
+TEST_CASE("the next leader counts from when the version became the target, not from its own start") {
     auto world = formed(15);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -30,7 +30,7 @@
     CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
 }
 
-TEST_CASE("a holder that restarted counts from when the version was named, as the other nodes do") {
+TEST_CASE("a leader that restarted counts from when the version became the target, like the other nodes") {
     auto world = formed(16);
     auto const partition = partition_of_service(model);
     auto const give_list = [&] {
@@ -64,7 +64,7 @@
     while (!led_again()) {
         REQUIRE(world->now - heard < 60 * one_second);
         duties.run(one_second);
-        // A holder that did not restart gives way to one that did.
+        // Leadership moves from a node that did not restart to one that did.
         auto const leader = world->leader(partition);
         auto pending = false;
         if (leader && !led_again())
@@ -82,7 +82,7 @@
     CHECK(*rollout.version_times.superseded_at(2) - *rollout.version_times.superseded_at(1) >= 4 * one_second);
 }
 
-TEST_CASE("a holder that does not know the list yet leaves the words of the former one as they are") {
+TEST_CASE("a leader that does not know the list yet leaves the states published by the former one") {
     auto world = formed(17);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -97,7 +97,7 @@
     CHECK(snapshot_of(node).replica_weights.at("a") == ReplicaWeights{{{model, 2}}, true});
 }
 
-TEST_CASE("ages of a version that the partition does not name withhold no replica") {
+TEST_CASE("ages of a version that is not the partition's target withhold no replica") {
     auto world = formed(18);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -1,4 +1,4 @@
-// Work at replicas of older weights ends by itself, with no leader and no order. docs/design.md section 11.5.
+// Work at replicas with older weights ends by its deadlines, without a leader or an order. docs/design.md section 11.5.
 #include <catch2/catch.hpp>
 
 #include "control/work_limits.hpp"
@@ -19,7 +19,7 @@
     return snapshot;
 }
 
-// A wire whose replica holds version 1, with so much left until a newer one has to serve everywhere.
+// A connection to a replica with version 1; `left` is the time until a newer one has to serve everywhere.
 struct OlderWeights {
     Wire wire;
     RelayVerdict verdict = wire.judged(false, true);
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("older weights end when the first newer version has to serve everywhere, whatever is named later") {
+TEST_CASE("older weights end when the first newer version has to serve everywhere, regardless of later targets") {
     auto snapshot = holding(1);
     snapshot.version_times["m"].at = {{2, now - 5 * one_second}, {3, now - one_second}};
     auto const limits = work_limits(snapshot, "life-1", bound, now);
@@ -47,14 +47,14 @@
     CHECK(limits.end_by == now + 10 * one_second - end_margin);
 }
 
-TEST_CASE("work at the newest weights ends in the time that a version named now would leave") {
+TEST_CASE("work at the newest weights ends in the time that a target set now would leave") {
     auto snapshot = holding(3);
     snapshot.version_times["m"].at = {{2, now - 14 * one_second}, {3, now - 13 * one_second}};
     CHECK(work_limits(snapshot, "life-1", bound, now).begin_by == now + bound - recall_margin);
     CHECK(work_limits(holding(1), "life-1", bound, now).begin_by == now + bound - recall_margin);
 }
 
-TEST_CASE("work has no limits where no bound is set, or for replicas without weights") {
+TEST_CASE("work has no limits if no bound is set, or for replicas without weights") {
     CHECK(work_limits(holding(1), "life-1", 0, now).begin_by == WorkLimits::none);
     CHECK(work_limits(holding(1), "other", bound, now).end_by == WorkLimits::none);
     auto plain = Snapshot();
@@ -67,7 +67,7 @@
     CHECK(recall_margin > end_margin);
 }
 
-TEST_CASE("a request that its replica has not begun is recalled before the bound of named weights, with no order") {
+TEST_CASE("a request that its replica has not begun is recalled before the bound of target weights, without an order") {
     auto end_seen = boost::system::error_code();
     auto silent = OlderWeights(
         [&end_seen](Peer& peer) -> awaitable<void> {
@@ -89,7 +89,7 @@
     CHECK(silent.wire.node->counters.weights_recalled == 1);
 }
 
-TEST_CASE("a replica of older weights is told no more time than is left before the bound, less the margin") {
+TEST_CASE("a replica with older weights gets no deadline later than the bound less the margin") {
     auto older = OlderWeights(saying(""), recall_margin + one_second);
     older.ask();
     while (older.wire.last_read.empty()) older.wire.context.run_one();
@@ -116,7 +116,7 @@
     CHECK(begun.wire.node->counters.weights_recalled == 0);
 }
 
-TEST_CASE("the head of an answer alone is no beginning") {
+TEST_CASE("the head of an answer alone does not count as begun") {
     auto head_only = OlderWeights(
         [](Peer& peer) -> awaitable<void> {
             co_await peer.until("bbbb");
