--- a/tests/duty_helpers.hpp
+++ b/tests/duty_helpers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The duty of bringing replicas to the versions named, at every node of a simulated world.
+// Runs the weights controller at every node of a simulated world.
 // docs/design.md section 11.
 #include "control/weights_duty.hpp"
 #include "world_helpers.hpp"
@@ -39,7 +39,7 @@
     std::vector<Sent> sent;
     std::map<std::size_t, std::vector<OrdersHeld>> held;  // by node, as it changed
 
-    // Orders are lost on their way, so that every holder goes on ordering.
+    // Orders are lost in transit, so that every leader keeps ordering.
     auto step() -> void {
         world.run_until(world.now + 25 * one_millisecond);
         for (auto index = std::size_t{0}; index < world.nodes.size(); ++index) {
@@ -69,7 +69,7 @@
 
 inline auto name_version(World& world, std::int64_t version) -> void {
     auto const partition = partition_of_service(model);
-    for (auto const& node : world.nodes)  // as the operator's call does it, in numbers
+    for (auto const& node : world.nodes)  // like the operator call, with version numbers
         node->control.partitions[static_cast<std::size_t>(partition)].apply = [](Copy const&, Call const& call) {
             return ChangeResult{200, "", call.body};
         };
--- a/tests/load_relay_test.cpp
+++ b/tests/load_relay_test.cpp
@@ -5,7 +5,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("relays: in calm every node counts what all nodes have placed, whatever was lost on the way") {
+TEST_CASE("relays: without load changes every node knows the load of all nodes, despite lost messages") {
     for (auto seed = std::uint64_t{1}; seed <= 12; ++seed) {
         auto net = Net(seed, 14, 1 + seed % 4, 6);
         net.loss = 0.1;
@@ -19,7 +19,7 @@
     }
 }
 
-TEST_CASE("relays: while requests come, a node's count lags by what comes in half a second") {
+TEST_CASE("relays: under load, a node's count lags by the requests of half a second") {
     auto net = Net(5, 14, 3, 6);
     net.run(3 * one_second, true);
     auto most = std::int64_t{0};
@@ -31,7 +31,7 @@
     CHECK(most > 0);
 }
 
-TEST_CASE("relays: the nodes of one that dies are counted elsewhere within two seconds, and not twice for long") {
+TEST_CASE("relays: nodes of a lost relay are counted by others within two seconds, and not twice for long") {
     for (auto seed = std::uint64_t{1}; seed <= 8; ++seed) {
         auto net = Net(seed, 12, 3, 6);
         net.run(3 * one_second, true);
@@ -43,23 +43,23 @@
     }
 }
 
-TEST_CASE("relays: one that freezes and thaws is taken for fresh by nobody") {
+TEST_CASE("relays: outdated sums of a relay that was frozen are not taken as fresh") {
     for (auto seed = std::uint64_t{1}; seed <= 8; ++seed) {
         auto net = Net(seed, 12, 3, 6);
         net.run(3 * one_second, true);
         auto& frozen = net.relay_of(0);
         frozen.frozen_until = net.now + 4 * one_second;
         net.run(4 * one_second, true);
-        net.run(one_second, false);  // it wakes, with all that came meanwhile
+        net.run(one_second, false);  // it resumes, with all messages queued meanwhile
         INFO("seed " << seed);
         CHECK(net.error() == 0);
-        net.run(6 * one_second, false);  // its nodes come back to it
+        net.run(6 * one_second, false);  // its nodes return to it
         CHECK(net.error() == 0);
         CHECK(&net.relay_of(0) == &frozen);
     }
 }
 
-TEST_CASE("relays: one that begins anew under its name sends no difference from what its nodes hold") {
+TEST_CASE("relays: a restarted relay sends no difference from the sums that its nodes hold") {
     auto net = Net(3, 8, 1, 6);
     net.run(2 * one_second, true);
     net.relays[0].relay = LoadRelay();
@@ -68,12 +68,12 @@
     CHECK(net.error() == 0);
 }
 
-TEST_CASE("relays: with all of them gone each node keeps to its slice, and is not frozen") {
-    auto net = Net(4, 10, 2, 20);  // 32 places and one on each replica
+TEST_CASE("relays: without any relay each node stays within its share, and still places requests") {
+    auto net = Net(4, 10, 2, 20);  // 32 slots and one more on each replica
     net.run(3 * one_second, true);
     for (auto& relay : net.relays) relay.running = false;
     net.run(one_second / 2, true);
-    for (auto& node : net.nodes) {  // all finish what they have
+    for (auto& node : net.nodes) {  // all requests finish
         for (auto const& [name, number] : node.placed) node.table.release(name, number);
         node.placed.clear();
     }
@@ -82,19 +82,19 @@
         CHECK(node.table.active_nodes(net.now) == 10);
         auto placed = 0;
         for (auto round = 0; round < 400; ++round) {
-            net.now += 3 * one_second;  // each round as if it had told in between
+            net.now += 3 * one_second;  // each round as if it had reported in between
             auto const name = "r" + std::to_string(net.random.below(20));
             if (!node.table.has_room(node.table.replicas.at(name), net.now)) continue;
             node.table.place(name, make_ticket(net.next_request++), 1, net.now);
             ++placed;
         }
         CHECK(placed >= 20);
-        for (auto const& [name, state] : node.table.replicas) CHECK(state.placed_slots <= 3);  // 32 places, ten nodes
+        for (auto const& [name, state] : node.table.replicas) CHECK(state.placed_slots <= 3);  // 32 slots, ten nodes
     }
     for (auto const& [name, state] : net.nodes[0].table.replicas) CHECK(net.truth(name) <= 33);
 }
 
-TEST_CASE("relays: a late sum, one of another relay's numbers, and a damaged one change nothing") {
+TEST_CASE("relays: a late sum, one based on another relay's numbers, and a damaged one change nothing") {
     auto granting = make_granting(2);
     auto& table = granting.burden;
     table.relayed = true;
@@ -109,7 +109,7 @@
     auto const difference = write_loads_difference(*read_loads(first), *read_loads(second));
     table.take_sum("other", {8, 7, 0, 0, 2, difference}, 1'200);  // the base is another relay's
     CHECK(running() == 3);
-    table.take_sum("one", {8, 5, 0, 0, 2, difference}, 1'300);  // a base that is not held
+    table.take_sum("one", {8, 5, 0, 0, 2, difference}, 1'300);  // an unknown base
     CHECK(running() == 3);
     table.take_sum("one", {8, 7, 0, 0, 2, difference.substr(1)}, 1'400);
     CHECK(running() == 3);
@@ -117,14 +117,14 @@
     CHECK(running() == 5);
 }
 
-TEST_CASE("relays: what a node has placed and no sum shows yet limits its last places") {
+TEST_CASE("relays: requests that a node placed and no sum contains yet limit its use of the last slots") {
     auto granting = make_granting(1, 2);
     auto& table = granting.burden;
     table.relayed = true;
     table.fleet_nodes = 30;
     auto const& state = table.replicas.at("r0");
     auto rooms = 0;
-    for (auto number = 0; number < 30; ++number) {  // somebody has the order for the last places
+    for (auto number = 0; number < 30; ++number) {  // one node is first in the order for the last slots
         table.self = "node-" + std::to_string(number);
         rooms += table.has_room(state, 20 * one_second);
     }
@@ -136,11 +136,11 @@
     }
     table.place("r0", make_ticket(1), 1, 20 * one_second);
     auto const word = table.make_told(static_cast<std::uint64_t>(20 * one_second + 10), 20 * one_second + 10);
-    CHECK_FALSE(table.has_room(state, 20 * one_second + 20));  // told, but not heard back
+    CHECK_FALSE(table.has_room(state, 20 * one_second + 20));  // reported, but no answer yet
     CHECK(read_loads(word)->size() == 1);
 }
 
-TEST_CASE("relays: the rate of every node is known at each of them, for those who judge who may rest") {
+TEST_CASE("relays: every relay knows the request rate of each node, to decide which nodes may rest") {
     auto net = Net(9, 6, 3, 6);
     net.run(3 * one_second, true);
     for (auto index = std::size_t{0}; index < net.nodes.size(); ++index) {
--- a/tests/load_test.cpp
+++ b/tests/load_test.cpp
@@ -1,4 +1,4 @@
-// Sums of load and their short text. docs/design.md 9.8.
+// Sums of load and their compact encoding. docs/design.md 9.8.
 #include <catch2/catch.hpp>
 
 #include "control/load.hpp"
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("loads are read back as they were written, whole and as differences") {
+TEST_CASE("loads survive encoding and decoding, whole and as differences") {
     auto random = Random{11};
     for (auto round = 0; round < 300; ++round) {
         auto const base = some_loads(random, 40);
@@ -39,11 +39,11 @@
         CHECK(apply_loads_difference(base, difference) == fresh);
     }
     auto const same = some_loads(random, 1'000);
-    CHECK(write_loads_difference(same, same).size() == 3);  // what stays as it was costs nothing
+    CHECK(write_loads_difference(same, same).size() == 3);  // unchanged entries cost no bytes
     CHECK(read_loads(write_loads({})) == Loads{});
 }
 
-TEST_CASE("a damaged text of loads is told, whatever it holds") {
+TEST_CASE("a damaged text of loads is always detected") {
     auto random = Random{12};
     auto taken = 0;
     for (auto round = 0; round < 4'000; ++round) {
@@ -55,7 +55,7 @@
         else text[random.below(text.size())] = static_cast<char>(random.below(256));
         auto const read = whole ? read_loads(text) : apply_loads_difference(base, text);
         if (!read) continue;
-        ++taken;  // other numbers, but sound: in order, no name twice
+        ++taken;  // other numbers, but valid: sorted, no duplicate names
         for (auto place = std::size_t{1}; place < read->size(); ++place)
             CHECK((*read)[place - 1].name < (*read)[place].name);
     }
@@ -66,7 +66,7 @@
     CHECK_FALSE(read_loads("zzzzzzzzzzzz"));
 }
 
-TEST_CASE("sums of loads add up by name, and age with their words") {
+TEST_CASE("loads are summed by name, and age like their reports") {
     auto const left = Loads{{"a", {2, 3, 10, 1, 100, 1}}, {"c", {1, 1, 5, 0, 0, 1}}};
     auto const right = Loads{{"b", {4, 4, 7, 2, 0, 1}}, {"c", {1, 2, 6, 3, 50, 1}}};
     auto const sum = add_loads(left, right);
--- a/tests/news_relay_test.cpp
+++ b/tests/news_relay_test.cpp
@@ -1,5 +1,5 @@
-// News through relays: freshness and bounds where a relay is lost, cut off from
-// the owner, frozen or slow to be noticed. docs/design.md section 8.1.
+// Updates through relays: freshness and bounds if a relay is lost, partitioned from
+// the leader, frozen or late to be noticed. docs/design.md section 8.1.
 #include "world_helpers.hpp"
 
 using namespace dockrock;
@@ -17,7 +17,7 @@
         if (world.nodes[index]->control.membership.self.identity == name) return index;
     return world.nodes.size();
 }
-// A relay that is not the owner, and serves an edge.
+// A relay that is not the leader, and serves an edge node.
 auto relay_in_use(World& world) -> std::size_t {
     for (auto edge = first_edge; edge < world.nodes.size(); ++edge)
         if (auto const relay = relay_of(world, edge);
@@ -44,7 +44,7 @@
     REQUIRE(relay_in_use(*world) < first_edge);
     return world;
 }
-// A change made right after a trouble is in force at all edges within the bound.
+// A change made right after a fault is in force at all edge nodes within the bound.
 auto applied_after(World& world, std::string const& document) -> bool {
     auto const owner = *world.leader(configuration_partition);
     auto const number = world.put(owner, document, "");
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("edges ask their relay, and a change reaches them as soon as it reaches the relay") {
+TEST_CASE("edge nodes ask their relay, and a change reaches them as soon as it reaches the relay") {
     auto world = relayed_world(3);
     std::map<std::string, int> asked;  // edges that asked each node last
     for (auto edge = first_edge; edge < world->nodes.size(); ++edge) {
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("a change is in force within its bound though a relay hears nothing of the owner") {
+TEST_CASE("a change is in force within its bound though a relay is partitioned from the leader") {
     for (auto seed = std::uint64_t{1}; seed <= 6; ++seed) {
         auto world = relayed_world(seed);
         auto const relay = relay_in_use(*world);
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("a change is in force within its bound though a relay freezes, and later thaws") {
+TEST_CASE("a change is in force within its bound though a relay freezes, and later resumes") {
     for (auto seed = std::uint64_t{1}; seed <= 6; ++seed) {
         auto world = relayed_world(seed);
         world->freeze(relay_in_use(*world), 6 * one_second);
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_CASE("storms with news through relays keep every invariant") {
+TEST_CASE("fault storms with updates through relays keep every invariant") {
     for (auto seed : {1, 2, 3, 5, 8, 13, 20, 55, 131, 435, 832, 926}) {
         WorldOptions options;
         options.seed = static_cast<std::uint64_t>(seed);
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -14,8 +14,8 @@
 
 constexpr auto load_time = 1'500 * one_millisecond;
 
-// Replicas as the rules have them: a report tells of a moment some time ago,
-// an order is taken once, a load takes its time.
+// Simulated replicas: a report describes a moment some time ago,
+// an order is accepted once, a load takes some time.
 struct Pool {
     struct Replica {
         std::int64_t version = 1;
@@ -31,7 +31,7 @@
     };
     VersionsRollout rollout;
     std::map<std::string, Replica> replicas;
-    std::map<std::string, std::pair<Microseconds, std::int64_t>> listed;  // the list is late
+    std::map<std::string, std::pair<Microseconds, std::int64_t>> listed;  // the list lags behind
     Microseconds now = 100 * one_second;
     std::int64_t target = 2;
     std::map<std::int64_t, Microseconds> named_at;
@@ -40,7 +40,7 @@
     std::size_t most_at_once = 0;
     int orders = 0;
     int reports = 0;
-    std::function<OrderResult(VersionOrder const&, OrderResult)> bend;  // what becomes of an order's answer
+    std::function<OrderResult(VersionOrder const&, OrderResult)> bend;  // may change the answer to an order
     std::set<std::string> lost;                                         // the next order to these is lost
 
     explicit Pool(int count) {
@@ -93,13 +93,13 @@
             else rollout.reported(name, replica.told.front().second, now, now);
         }
     }
-    // Names a version now; each one's time counts from its own naming.
+    // Sets a target version now; the bound of each target counts from its own time.
     auto name_version(std::int64_t version) -> void {
         target = version;
         named_at[version] = now;
     }
-    // How many get new requests though their weights are older than what has to
-    // serve everywhere: nodes send where no word forbids it.
+    // How many replicas get new requests although their weights are older than what has to
+    // serve everywhere: nodes send unless a published state forbids it.
     auto open_after(Microseconds time) const -> int {
         auto states = WeightsWords();
         rollout.add_states("m", states);
--- a/tests/versions_due_test.cpp
+++ b/tests/versions_due_test.cpp
@@ -1,4 +1,4 @@
-// When each named version has to serve everywhere, and what is done to that end.
+// The deadline of each target version, and how the roll-out meets it.
 // docs/design.md section 11.4.
 #include "rollout_helpers.hpp"
 
@@ -20,7 +20,7 @@
     pool.bend = [&](auto const&, auto end) { return ends.push_back(end), end; };
     REQUIRE(pool.run_until([&] { return pool.all_hold(2); }, 5 * one_second));
     pool.run(3 * one_second);
-    replica.load = 300 * one_millisecond;  // nothing runs there any more
+    replica.load = 300 * one_millisecond;  // no requests run there any more
     pool.target = 3;
     REQUIRE(pool.run_until([&] { return pool.listed["r10"].second == 3; }, 5 * one_second));
     pool.target = 4;
@@ -28,7 +28,7 @@
     CHECK(ends == std::vector(3, OrderResult::accepted));
 }
 
-TEST_CASE("replicas of the oldest version get nothing new near its bound however many are named after it") {
+TEST_CASE("replicas with the oldest version get no new requests near its bound, however many targets follow it") {
     auto pool = Pool(18);
     pool.rollout.times.bound = bound;
     for (auto& [name, replica] : pool.replicas) replica.load = 3 * one_second;  // streams run on
@@ -47,7 +47,7 @@
 
 namespace {
 
-// The most that load at a time until nothing new goes to the older weights.
+// The maximum number of concurrent loads until older weights get no new requests.
 auto most_before_margin(Pool& pool, Microseconds length) -> std::size_t {
     pool.name_version(2);
     pool.run(length - weights_margin);
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("calm replicas load three at a time in either bound") {
+TEST_CASE("replicas with short loads are loaded three at a time under either bound") {
     for (auto const length : {12 * one_second, 15 * one_second}) {
         auto pool = Pool(18);
         auto random = std::mt19937(7);
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("where loads take long more go at a time and never above half before the margin") {
+TEST_CASE("with long loads more replicas load at a time, never above half before the margin") {
     for (auto const load : {3 * one_second, 4 * one_second, 9 * one_second}) {
         auto pool = Pool(18);
         for (auto& [name, replica] : pool.replicas) replica.load = load;
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("one that is leaving is ordered only when it is overdue and what lies there unstarted would begin late") {
+TEST_CASE("a draining replica is ordered only when it is overdue and its queued requests would begin late") {
     auto pool = Pool(2);
     pool.rollout.times.bound = bound;
     pool.replicas["r10"].drain = true;
@@ -96,7 +96,7 @@
     CHECK(pool.open_after(bound - weights_margin + heard) == 0);
 }
 
-TEST_CASE("those that are due first are loaded first") {
+TEST_CASE("replicas that are due first are loaded first") {
     auto pool = Pool(9);
     pool.rollout.times.bound = bound;
     pool.name_version(2);
@@ -111,7 +111,7 @@
     CHECK(std::count(ordered.begin(), ordered.end(), 1) == 3);
 }
 
-TEST_CASE("a 409 holds a place no longer than a report takes") {
+TEST_CASE("a 409 occupies a load slot no longer than a report takes") {
     auto pool = Pool(6);
     auto refused = std::set<std::string>();
     pool.bend = [&](auto const& order, auto end) {
@@ -131,7 +131,7 @@
     CHECK(pool.run_until(others, one_second));
 }
 
-TEST_CASE("a replica that shows the new version and is still busy is not ordered again") {
+TEST_CASE("a replica that reports the new version and is still busy is not ordered again") {
     auto rollout = VersionsRollout();
     auto replicas = std::vector<ListedReplica>{{"a", "service", "", 1, false}};
     auto const step = [&](std::int64_t wanted, Microseconds now) {
@@ -152,7 +152,7 @@
     CHECK(orders[0].orders == 1);
 }
 
-TEST_CASE("a new leader gives its word of those that are due before it may order") {
+TEST_CASE("a new leader publishes the state of due replicas before it may order") {
     auto pool = Pool(6);
     pool.may_order = false;
     pool.rollout.times.bound = bound;
@@ -167,7 +167,7 @@
     CHECK(pool.rollout.collect_metrics(pool.now).oldest >= bound - weights_margin);
 }
 
-TEST_CASE("the moments of versions named long ago give way and give nobody more time") {
+TEST_CASE("the times of old versions are dropped without giving any replica more time") {
     auto named = NamedVersions();
     CHECK_FALSE(named.take(1, 5));
     for (auto version = 2; version < 200; ++version) CHECK(named.take(version, 10 * version));
@@ -179,7 +179,7 @@
     CHECK_FALSE(named.superseded_at(199));
 }
 
-TEST_CASE("a replica that is back with its former version long after the bound gets nothing and is ordered at once") {
+TEST_CASE("a replica that returns with its old version long after the bound gets no requests and is ordered at once") {
     auto pool = Pool(4);
     pool.rollout.times.bound = bound;
     pool.name_version(2);
--- a/tests/versions_holder_test.cpp
+++ b/tests/versions_holder_test.cpp
@@ -3,7 +3,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("one that can't be reached is tried ever more rarely and holds no place") {
+TEST_CASE("an unreachable replica is tried with backoff and occupies no load slot") {
     auto pool = Pool(4);
     auto tries = 0;
     pool.bend = [&](auto const& order, auto end) {
@@ -17,7 +17,7 @@
     for (auto const* name : {"r11", "r12", "r13"}) CHECK(pool.replicas[name].version == 2);
 }
 
-TEST_CASE("a replica that leaves is not loaded") {
+TEST_CASE("a draining replica is not loaded") {
     auto pool = Pool(3);
     pool.replicas["r11"].drain = true;
     pool.run(6 * one_second);
@@ -26,7 +26,7 @@
     CHECK_FALSE(pool.rollout.under_way());
 }
 
-TEST_CASE("a new leader asks after what the former one had under way, and orders nothing before its time") {
+TEST_CASE("a new leader polls the orders of the former one, and sends no orders before its wait is over") {
     auto pool = Pool(9);
     REQUIRE(pool.run_until([&] { return pool.orders >= 4; }, 5 * one_second));
     auto const before = pool.orders;
@@ -43,14 +43,14 @@
     CHECK(pool.orders == before);
     states.clear();
     pool.rollout.add_states("m", states);
-    for (auto const& [name, state] : states) CHECK_FALSE(state.loading);  // all done meanwhile, and known
+    for (auto const& [name, state] : states) CHECK_FALSE(state.loading);  // all finished meanwhile, and reported
     pool.may_order = true;
     REQUIRE(pool.run_until([&] { return pool.all_hold(2); }, 8 * one_second));
     CHECK(pool.orders == 9);
     CHECK(pool.most_at_once == 3);
 }
 
-TEST_CASE("a holder waits unless it is the first of all, or held the part all the time") {
+TEST_CASE("a leader waits unless it is the first one ever, or held the partition all the time") {
     constexpr auto wait = 3'200 * one_millisecond;
     auto first = Tenure();
     CHECK(first.step(1, true, true, wait, 10 * one_second));
@@ -64,13 +64,13 @@
     CHECK_FALSE(next.step(2, true, false, wait, 16 * one_second));  // without its lease
     CHECK(next.step(2, true, true, wait, 17 * one_second));
     CHECK(next.step(3, true, true, wait, 18 * one_second));        // a new follower
-    CHECK_FALSE(next.step(5, true, true, wait, 19 * one_second));  // who held 4 is not known
+    CHECK_FALSE(next.step(5, true, true, wait, 19 * one_second));  // the holder of term 4 is unknown
     CHECK(next.step(5, true, true, wait, 19 * one_second + wait));
     CHECK_FALSE(next.step(6, false, false, wait, 24 * one_second));
     CHECK_FALSE(next.step(7, true, true, wait, 25 * one_second));
 }
 
-TEST_CASE("a listed version that is higher than the leader's word ends the word") {
+TEST_CASE("a listed version higher than the published one overrides the published state") {
     auto listed = ReplicaWeights{{{"m", 1}}, false};
     apply_word(listed, {{{"m", 1}}, true});
     CHECK(listed == ReplicaWeights{{{"m", 1}}, true});
--- a/tests/versions_rollout_test.cpp
+++ b/tests/versions_rollout_test.cpp
@@ -3,7 +3,8 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("eighteen replicas come to the version named within its bound, three at once, one order and load each") {
+TEST_CASE(
+    "eighteen replicas reach the target version within its bound, three at a time, with one order and load each") {
     auto pool = Pool(18);
     auto random = std::mt19937(7);
     for (auto& [name, replica] : pool.replicas)
@@ -20,14 +21,14 @@
     pool.run(10 * one_second);
     auto const reports = pool.reports;
     pool.run(20 * one_second);
-    CHECK(pool.reports == reports);  // nobody is asked while no order is under way
+    CHECK(pool.reports == reports);  // no polling while no order is in progress
     CHECK_FALSE(pool.rollout.under_way());
     auto states = WeightsWords();
     pool.rollout.add_states("m", states);
-    CHECK(states.empty());  // the list tells it all again
+    CHECK(states.empty());  // the list alone is enough again
 }
 
-TEST_CASE("a replica is said to be loading before it is ordered, and until a report says otherwise") {
+TEST_CASE("a replica is published as loading before its order, and until a report says otherwise") {
     auto pool = Pool(1);
     auto said_at = Microseconds{0};
     auto ordered_at = Microseconds{0};
@@ -45,10 +46,10 @@
     CHECK(pool.replicas["r10"].version == 2);
     auto states = WeightsWords();
     pool.rollout.add_states("m", states);
-    CHECK(states["r10"].versions["m"] == 2);  // told before the list shows it
+    CHECK(states["r10"].versions["m"] == 2);  // published before the list shows it
 }
 
-TEST_CASE("an order without an answer is looked after by report, not repeated blindly") {
+TEST_CASE("an order without an answer is followed up by reports, not repeated blindly") {
     auto pool = Pool(1);
     SECTION("it had been taken") {
         pool.bend = [](auto const&, auto) { return OrderResult::unknown; };
@@ -67,7 +68,7 @@
     }
 }
 
-TEST_CASE("another order under way is waited for; one for an older version is followed by ours") {
+TEST_CASE("another order in progress is waited for; one for an older version is followed by ours") {
     auto pool = Pool(1);
     auto& replica = pool.replicas["r10"];
     replica.loading = 2;
@@ -96,7 +97,7 @@
     CHECK(ends.size() <= 3);
 }
 
-TEST_CASE("a later holder's fence stops all orders, until the fence rises") {
+TEST_CASE("a later leader's fence stops all orders until the own fence is higher") {
     auto pool = Pool(6);
     pool.bend = [](auto const&, auto end) { return end == OrderResult::accepted ? OrderResult::fenced : end; };
     pool.run(6 * one_second);
@@ -106,7 +107,7 @@
     CHECK(pool.run_until([&] { return pool.all_hold(2); }, 10 * one_second));
 }
 
-TEST_CASE("a new version named in mid-roll is the one the others are ordered to load") {
+TEST_CASE("a new target set during a roll-out is the one that the remaining replicas are ordered to load") {
     auto pool = Pool(9);
     REQUIRE(pool.run_until([&] { return pool.orders >= 4; }, 5 * one_second));
     auto const before = pool.orders;
@@ -119,7 +120,7 @@
     CHECK(pool.orders == 9 + before + old);
 }
 
-TEST_CASE("a replica that is gone frees its place, one that is silent too, and the rest goes on") {
+TEST_CASE("a removed or silent replica frees its load slot, and the rest continues") {
     auto pool = Pool(7);
     REQUIRE(pool.run_until([&] { return pool.orders == 3; }, 2 * one_second));
     auto ordered = std::vector<std::string>();
@@ -136,7 +137,7 @@
     };
     CHECK(pool.run_until(others_hold, 8 * one_second));
     CHECK_FALSE(pool.rollout.by_replica.contains(ordered[0]));
-    // A new life in its stead, with its former weights.
+    // A new incarnation under the same name, with its old weights.
     pool.replicas["r99"];
     pool.replicas[ordered[1]].silent = false;
     pool.replicas[ordered[1]].done_at = pool.now;
--- a/tests/weights_duty_test.cpp
+++ b/tests/weights_duty_test.cpp
@@ -4,7 +4,7 @@
 using namespace dockrock;
 using namespace dockrock::simulation;
 
-TEST_CASE("the first holder orders at once, and the next one only a lease after it took over") {
+TEST_CASE("the first leader orders at once, the next one only a lease duration after its takeover") {
     auto world = formed(11);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -52,14 +52,14 @@
     CHECK(holders.size() == 2);
     for (auto const next : holders) {
         if (next == holder) continue;
-        auto const& told = duties.held[next];  // why it gave no orders until then
+        auto const& told = duties.held[next];  // why it sent no orders until then
         REQUIRE(told.size() >= 2);
         CHECK(std::vector(told.end() - 2, told.end()) == std::vector{OrdersHeld::new_holder, OrdersHeld::no});
     }
     CHECK(world->violations.empty());
 }
 
-TEST_CASE("a leader's word of its replicas reaches every node at once, and a word of a gone replica is none") {
+TEST_CASE("states published by a leader reach every node at once, and those of removed replicas are ignored") {
     auto world = formed(12);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE("a list that can't be read is asked for ever more rarely, and thirteen nodes stay within the calls") {
+TEST_CASE("a failing list is read with backoff, and thirteen nodes stay within the rate limit") {
     auto random = Random{3};
     std::vector<ListPace> paces(13);
     for (auto& pace : paces) pace.configure(3 * one_second, 47);
@@ -105,7 +105,7 @@
     CHECK(calls.size() < 13 * 60 / 2);  // of 60 s
 }
 
-TEST_CASE("a node without news of the list reads it itself within the drain bound, the leader every interval") {
+TEST_CASE("a node with an outdated list reads it itself within the drain bound, the leader at every interval") {
     auto random = Random{5};
     auto pace = ListPace();
     pace.configure(3 * one_second, 47);
@@ -115,7 +115,7 @@
     while (!pace.due(view, now, random)) now += 10 * one_millisecond;
     CHECK(now - view.list_at > 2 * one_second);
     CHECK(now - view.list_at + 100 * one_millisecond + pace.page_limit < 3 * one_second);
-    view.list_at = now - one_second;  // news came meanwhile
+    view.list_at = now - one_second;  // an update came meanwhile
     CHECK_FALSE(pace.due(view, now, random));
     view.leader = true;
     CHECK(pace.due(view, now, random));
