--- a/tests/load_relay_test.cpp
+++ b/tests/load_relay_test.cpp
@@ -5,7 +5,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("relays: without load changes every node knows the load of all nodes, despite lost messages") {
+TEST_CASE("relays: once load stops changing, every node knows the load of all nodes despite lost messages") {
     for (auto seed = std::uint64_t{1}; seed <= 12; ++seed) {
         auto net = Net(seed, 14, 1 + seed % 4, 6);
         net.loss = 0.1;
