--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -1,4 +1,4 @@
-// The node's control side: routing of events to its machines. docs/design.md section 5 and 9.
+// The node's control plane: dispatches events to its state machines. docs/design.md section 5 and 9.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -9,22 +9,22 @@
     settings = given;
     random.state = seed;
     membership.seeds = given.seeds;
-    appear_as(identity, incarnation);
+    set_identity(identity, incarnation);
     load_partitions(saved_parts, had_state, now);
 }
 
-// The old identity is not told to be gone: whoever hears the new one at this address, under a
-// later life, knows it. A disk that held nothing goes on as a new identity, and votes as one.
+// The old identity is not announced as gone: nodes that see the new one at this address with a higher
+// incarnation know it. A node with an empty disk continues as a new identity and votes as one.
 auto Control::take_disk(
     std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_parts,
     bool had_state, Microseconds now) -> void {
     settings.core = true;
     membership.known.erase(identity);
-    appear_as(identity, std::max(incarnation, membership.self.incarnation + 1));
+    set_identity(identity, std::max(incarnation, membership.self.incarnation + 1));
     load_partitions(saved_parts, had_state, now);
 }
 
-auto Control::appear_as(std::string const& identity, std::uint64_t incarnation) -> void {
+auto Control::set_identity(std::string const& identity, std::uint64_t incarnation) -> void {
     auto& self = membership.self;
     self = Member{};
     self.identity = identity;
@@ -89,14 +89,15 @@
     context.sends.clear();
 }
 
-// Core nodes held alive that don't stop now.
+// Core nodes considered alive that are not shutting down.
 auto Control::staying_cores() const -> std::vector<Member> {
     auto cores = membership.alive_members(true);
     std::erase_if(cores, [](auto const& member) { return member.leaving.value_or(false); });
     return cores;
 }
 
-auto Control::with_parts(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void {
+auto Control::with_partitions(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work)
+    -> void {
     auto context = Context{
         now,
         membership.self.identity,
@@ -109,7 +110,7 @@
     context.leaving = [this](std::string const& identity) { return membership.leaving(identity); };
     work(context);
     drain(context, output);
-    while (!loopback.empty()) {  // a node is also a voter to itself, by the same messages
+    while (!loopback.empty()) {  // a node that is its own voter gets the same messages as others
         auto pending = std::move(loopback);
         loopback.clear();
         for (auto const& item : pending)
@@ -123,19 +124,19 @@
     membership.heard_from(from, now);
     deliver({now, from, address, output}, message);
     publish(now, output);
-    // The next question follows an answer that was held, or that brought news,
-    // without waiting for a tick; answers given at once are paced by the ticks.
+    // After an answer that was held or brought a change, the next request is sent without waiting
+    // for a tick; after immediate answers the ticks limit the rate.
     auto const* answer = std::get_if<UpdateAnswer>(&message);
     if (answer != nullptr && is_partition(answer->partition) && !resting) {
         auto const& item = views[static_cast<std::size_t>(answer->partition)];
-        if (output.snapshot_changed || next_is_held(item, answer->partition, now)) request_updates(now, output);
+        if (output.snapshot_changed || next_request_held(item, answer->partition, now)) request_updates(now, output);
     }
     return output;
 }
 
 auto Control::saved(Microseconds now, std::uint64_t token, bool ok) -> ControlOutput {
     ControlOutput output;
-    with_parts(now, output, [&](Context& context) {
+    with_partitions(now, output, [&](Context& context) {
         for (auto& partition : partitions) partition.saved(context, token, ok);
     });
     publish(now, output);
@@ -145,10 +146,10 @@
 auto Control::tick(Microseconds now) -> ControlOutput {
     ControlOutput output;
     membership.self.knows_fleet = knows_fleet();
-    judge_load_relays();
+    update_load_relaying();
     membership.tick(now, random, output.sends);
     if (settings.core) {
-        with_parts(now, output, [&](Context& context) {
+        with_partitions(now, output, [&](Context& context) {
             form(now, context);
             for (auto& partition : partitions) partition.tick(context);
         });
@@ -161,7 +162,7 @@
     tick_calls(now, output);
     tick_claims(now, output);
     tick_recovery(now, output);
-    answer_overdue(now, output);
+    answer_expired(now, output);
     return output;
 }
 
--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -1,4 +1,4 @@
-// Changes of kept prompts through relays: who is asked, who answers.
+// Distribution of prompt cache changes through relays: which node requests them from which.
 // docs/design.md section 9.9.
 #include "control/control.hpp"
 
@@ -12,11 +12,11 @@
 }
 
 auto Control::cache_read(CacheBatch batch) -> void {
-    auto const known = cache_feed.judge(batch) == CacheFeed::Verdict::known;
+    auto const known = cache_feed.advance_cursor(batch) == CacheFeed::BatchPosition::known;
     if (!known && settings.core) cache_feed.add(std::move(batch), true);
 }
 
-// What was read at the source itself; nothing where the feed is further already.
+// Moves the cursor to a batch that was read at the source itself. False if the feed is already ahead of it.
 auto Control::cache_caught_up(CacheBatch const& batch) -> bool {
     auto& cursor = cache_feed.cursors[batch.source];
     if (cursor.life == batch.life && batch.next < cursor.next) return false;
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -1,4 +1,4 @@
-// Each message to the machine that it is for. docs/design.md sections 5 and 9.
+// Dispatches each message to the state machine that handles it. docs/design.md sections 5 and 9.
 #include "control/control.hpp"
 
 namespace dockrock {
@@ -10,18 +10,18 @@
 template <typename GroupMessage>
 auto Control::on(Arrival const& arrival, GroupMessage const& message) -> void {
     if (!settings.core || !is_partition(message.partition)) return;
-    with_parts(arrival.now, arrival.output, [&](Context& context) {
+    with_partitions(arrival.now, arrival.output, [&](Context& context) {
         partitions[static_cast<std::size_t>(message.partition)].on(context, arrival.from, message);
     });
 }
 
-// Heard by every node: it asks the leader of the record for news from now on.
+// Sent to every node, which requests updates from the leader of the record from now on.
 auto Control::on(Arrival const& arrival, Decided const& decided) -> void {
     if (!is_partition(decided.partition)) return;
     auto& item = views[static_cast<std::size_t>(decided.partition)];
     if (decided.record.term > item.record.term) {
         item.record = decided.record;
-        retire_request(item, false);  // the old leader's answer is not waited for
+        retire_request(item, false);  // don't wait for the old leader's answer
         item.unanswered = 0;
     }
     on<Decided>(arrival, decided);
@@ -91,7 +91,7 @@
 
 auto Control::on(Arrival const& arrival, ClaimAsk const& ask) -> void {
     if (!is_partition(ask.partition) || !settings.core) return;
-    with_parts(arrival.now, arrival.output, [&](Context& context) {
+    with_partitions(arrival.now, arrival.output, [&](Context& context) {
         partitions[static_cast<std::size_t>(ask.partition)].claim(context, arrival.address, ask);
     });
 }
@@ -101,7 +101,7 @@
 }
 
 auto Control::on(Arrival const& arrival, RecoveryRequest const& ask) -> void {
-    arrival.output.sends.push_back({arrival.address, RecoveryAnswer{ask.token, held_parts()}});
+    arrival.output.sends.push_back({arrival.address, RecoveryAnswer{ask.token, held_partitions()}});
 }
 
 auto Control::on(Arrival const& arrival, RecoveryAnswer const& answer) -> void {
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -1,5 +1,5 @@
-// Forming anew after the loss of every core disk: an operator's deliberate
-// order, from the newest copies that living nodes hold. docs/design.md 5.9.
+// Recovery after the loss of every core disk: ordered explicitly by an operator, from the
+// newest copies that the remaining nodes hold. docs/design.md 5.9.
 #include <algorithm>
 
 #include "control/control.hpp"
@@ -12,7 +12,7 @@
 constexpr Microseconds send_interval = one_second;
 }  // namespace
 
-auto Control::held_parts() const -> std::vector<HeldPartition> {
+auto Control::held_partitions() const -> std::vector<HeldPartition> {
     std::vector<HeldPartition> held;
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = best_record(static_cast<int>(index));
@@ -35,7 +35,7 @@
 auto Control::recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput {
     ControlOutput output;
     auto const busy = recovery.has_value();
-    auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_parts(), 0};
+    auto fresh = PendingRecovery{random.next() | 1U, local_token, now, {}, held_partitions(), 0};
     auto const refused = [&](std::string_view what) {
         auto const body = json::serialize(fields("error", std::string(what) + "; nothing was done"));
         output.results.push_back({"", local_token, 409, body, ""});
@@ -81,7 +81,7 @@
     if (recovery->term != 0) {
         auto const& record = best_record(configuration_partition);
         if (record.term > recovery->term && !record.leader.empty()) return end_recovery(200, "formed anew", output);
-        if (now - recovery->sent_at > send_interval) send_recovery(now, output);  // the last one may be lost
+        if (now - recovery->sent_at > send_interval) send_recovery(now, output);  // the previous message may be lost
         if (now - recovery->since > forming_limit)
             end_recovery(504, "not formed yet; look at the status, order again", output);
         return;
@@ -111,7 +111,7 @@
     else output.sends.push_back({recovery->at, recovery->order});
 }
 
-// Only a core node that had no say in the fleet that was: its disk knows nothing better.
+// Accepted only by a core node that was no voter or member of the former fleet: its disk has no newer state.
 auto Control::on_recover_fleet(Microseconds now, RecoverFleet const& order, ControlOutput& output) -> void {
     auto const named = std::any_of(partitions.begin(), partitions.end(), [&](auto const& partition) {
         auto const& record = partition.votes.decided;
@@ -123,11 +123,11 @@
     if (!settings.core || named || order.partitions.size() != partition_count || listed == order.voters.end()) return;
     if (!old_voter_alive(order.partitions).empty()) return;
     recovers_fleet = true;
-    with_parts(now, output, [&](Context& context) {
+    with_partitions(now, output, [&](Context& context) {
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
             partition.copy = {order.partitions[index].sequence, order.partitions[index].document, {}};
-            partition.logged.reset();  // the disk holds another
+            partition.logged.reset();  // the disk holds a different document
             partition.learn(context, Record{order.term, "", {}, order.voters});
         }
     });
--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -18,10 +18,10 @@
     return sum;
 }
 
-// What is too old stands for nothing. A node that went silent here and tells
-// another relay is its; and a silent relay's sum goes as soon as most of its
-// nodes tell others: they would count twice.
-auto LoadRelay::forget(Microseconds now) -> void {
+// Drops reports that are too old. A node that is silent here and reports to another
+// relay belongs to that one; the sum of a silent relay is dropped once most of its
+// nodes report to other relays. Otherwise they would be counted twice.
+auto LoadRelay::drop_stale(Microseconds now) -> void {
     std::erase_if(children, [&](auto const& item) {
         auto const age = now - item.second.at;
         if (age <= times.old || age > times.lost) return age > times.lost;
@@ -51,7 +51,7 @@
     std::vector<Loads> parts;
     for (auto const& [node, child] : children)
         parts.push_back(age_loads(child.loads, milliseconds(now - child.at), now - child.at > times.old));
-    for (; parts.size() > 1;) {  // in pairs, so that no long list is walked for each short one
+    for (; parts.size() > 1;) {  // pairwise, to avoid a pass over a long list for each short one
         for (auto place = std::size_t{0}; place + 1 < parts.size(); place += 2)
             parts[place / 2] = add_loads(parts[place], parts[place + 1]);
         if (parts.size() % 2 == 1) parts[parts.size() / 2] = std::move(parts.back());
@@ -61,7 +61,7 @@
 }
 
 auto LoadRelay::sum_up(Microseconds now) -> void {
-    forget(now);
+    drop_stale(now);
     auto sum = Sum{++number, 0, own_sum(now)};
     for (auto& [node, child] : children) {
         child.summed = child.number;
@@ -81,10 +81,10 @@
 }
 
 auto LoadRelay::take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum> {
-    if (deaf(now)) return std::nullopt;
+    if (ignoring(now)) return std::nullopt;
     auto loads = read_loads(told.body);
     auto& child = children[node];
-    // A lower number is a late word, or the first of a new life.
+    // A lower number is a late report, or the first one of a restarted node.
     auto const fresh = child.at == 0 || now - child.at > times.old;
     if (!loads || (told.number <= child.number && !fresh)) return std::nullopt;
     child.number = told.number;
@@ -107,7 +107,7 @@
 }
 
 auto LoadRelay::take(std::string const& relay, LoadShare const& told, Microseconds now) -> void {
-    if (deaf(now)) return;
+    if (ignoring(now)) return;
     auto loads = read_loads(told.body);
     auto& share = shares[relay];
     if (!loads || (told.number <= share.number && now - share.at <= times.old)) return;
@@ -121,18 +121,20 @@
         share.rates[told.names[place]] = told.rates[place];
 }
 
-// Words that waited while this node was frozen tell of a moment long past.
-auto LoadRelay::deaf(Microseconds now) const -> bool { return now < deaf_until || now - ticked_at > times.frozen_gap; }
+// Reports that were queued while this process was frozen are outdated.
+auto LoadRelay::ignoring(Microseconds now) const -> bool {
+    return now < ignore_until || now - ticked_at > times.frozen_gap;
+}
 
 auto LoadRelay::tick(Microseconds now) -> std::optional<LoadShare> {
     if (now - ticked_at > times.frozen_gap && ticked_at != 0) {
         children.clear();
         shares.clear();
-        deaf_until = now + times.deaf;
+        ignore_until = now + times.ignore_time;
     }
     ticked_at = now;
     if (now - shared_at < times.interval) return std::nullopt;
-    forget(now);
+    drop_stale(now);
     if (children.empty()) return std::nullopt;
     shared_at = now;
     LoadShare told;
@@ -161,7 +163,7 @@
 
 auto LoadRelayChoice::choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const* {
     std::erase_if(avoided, [&](auto const& item) { return item.second <= now; });
-    // Told a while ago and again since, and nothing came back.
+    // Several reports were sent over some time without an answer.
     if (!relay.empty() && told_at - std::max(since, heard_at) > times.silence) {
         avoided[relay] = now + times.avoid;
         relay.clear();
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr auto past_kept = std::size_t{8};
 constexpr auto asks_kept = std::size_t{8};
-constexpr auto least_saved = std::size_t{64};  // a difference that saves less is not worth it
+constexpr auto least_saved = std::size_t{64};  // bytes a difference must save to be sent instead of the whole document
 constexpr auto past_bytes = std::size_t{4} << 20U;
 }  // namespace
 
@@ -26,7 +26,7 @@
     return found == item.past_requests.end() ? nullptr : &*found;
 }
 
-auto remember(PartitionView& item) -> void {
+auto keep_as_base(PartitionView& item) -> void {
     if (item.copy.document.empty()) return;
     item.past.emplace_back(item.copy.sequence, item.copy.document);
     auto const bytes = [&] {
@@ -37,7 +37,7 @@
     while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
 }
 
-auto copy_for(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate {
+auto make_update(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate {
     auto const& fresh = item.copy.document;
     auto const whole = [&] { return DocumentUpdate{item.copy.sequence, digest_of(fresh), true, fresh, {}}; };
     auto const held =
@@ -52,7 +52,7 @@
     auto const& told = item.told;
     if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
         return told->second;
-    auto made = copy_for(item, ask);
+    auto made = make_update(item, ask);
     if (!made.whole) item.told = {ask.have, made};
     return made;
 }
--- a/source/control/resting_policy.cpp
+++ b/source/control/resting_policy.cpp
@@ -15,10 +15,10 @@
     }
     auto const needed = static_cast<std::size_t>(std::ceil(total * options.headroom / options.node_rate));
     auto const slack = static_cast<std::size_t>(options.loss_slack);
-    return std::min(edges.size(), std::max(needed, areas.size()) + slack);  // one in every area, and one to lose
+    return std::min(edges.size(), std::max(needed, areas.size()) + slack);  // at least one per area, plus the spares
 }
 
-// A resting node that was given traffic is awake already.
+// A resting node that gets traffic counts as awake, except for traffic within the grace period.
 auto RestingPolicy::still_rests(
     EdgeTraffic const& node, std::set<std::string> const& now_resting, Microseconds now) const -> bool {
     auto const rested = rested_at.find(node.identity);
@@ -51,7 +51,7 @@
     return plan.resting;
 }
 
-// Nodes are woken at once, those of the emptiest area first.
+// Wakes nodes without delay, first in the area with the fewest awake nodes.
 auto RestingPolicy::wake_needed(std::vector<EdgeTraffic> const& edges, std::size_t least, Plan& plan) -> void {
     auto const area_asleep = [&] {
         return std::any_of(
@@ -72,7 +72,7 @@
     }
 }
 
-// The idlest node of the fullest area, if that area keeps another one awake.
+// Rests the node with the least traffic in the area with the most awake nodes, if another one stays awake there.
 auto RestingPolicy::rest_one(std::vector<EdgeTraffic> const& edges, Plan& plan, Microseconds now) -> void {
     auto const order = [&](EdgeTraffic const& node) { return std::pair(-plan.awake_in_area[node.area], node.rate); };
     EdgeTraffic const* chosen = nullptr;
--- a/source/control/snapshot.cpp
+++ b/source/control/snapshot.cpp
@@ -15,10 +15,10 @@
     ReplicaList list;
     Problems problems;
     read_json(*parsed, list, "", problems);
-    if (problems.empty()) into = std::move(list);  // what can't be read is kept as it was
+    if (problems.empty()) into = std::move(list);  // an invalid list leaves the old one in place
 }
 
-// Under a relaying form the document is one of services.
+// Under a relaying protocol the document is a list of services.
 auto compile_relayed(Copy const& copy, DocumentFormat const& form) -> std::shared_ptr<Rules const> {
     auto rules = std::make_shared<Rules>();
     rules->sequence = copy.sequence;
@@ -29,21 +29,21 @@
     return rules;
 }
 
-// A version that this node's document does not name can't be ordered, so it makes no replica late:
-// one that others tell of may have been lost with its disks.
-auto named_here(VersionHistory const& version_history, std::map<std::string, std::int64_t> const& targets)
+// Only versions up to the target in this node's document: a higher one can't be ordered, so it makes no
+// replica overdue. One that other nodes report may have been lost with the disks that held it.
+auto times_up_to_target(VersionHistory const& version_history, std::map<std::string, std::int64_t> const& targets)
     -> std::map<std::string, VersionTimes> {
-    std::map<std::string, VersionTimes> named;
+    std::map<std::string, VersionTimes> times;
     for (auto const& [model, versions] : version_history.by_model)
         if (auto const target = targets.find(model); target != targets.end())
-            named[model] = versions.up_to(target->second);
-    return named;
+            times[model] = versions.up_to(target->second);
+    return times;
 }
 
-auto take_words(Snapshot& fresh, std::string const& text) -> void {
-    for (auto const& [replica, word] : read_weights_states(text))
+auto apply_published_states(Snapshot& fresh, std::string const& text) -> void {
+    for (auto const& [replica, state] : read_weights_states(text))
         if (auto const found = fresh.replica_weights.find(replica); found != fresh.replica_weights.end())
-            apply_weights_state(found->second, word);
+            apply_weights_state(found->second, state);
 }
 
 }  // namespace
@@ -51,10 +51,10 @@
 auto read_weights_states(std::string const& text) -> WeightsStates {
     auto const parsed = text.empty() ? std::nullopt : parse_json(text);
     if (!parsed) return {};
-    WeightsStates words;
+    WeightsStates states;
     Problems problems;
-    read_json(*parsed, words, "", problems);
-    return problems.empty() ? words : WeightsStates();
+    read_json(*parsed, states, "", problems);
+    return problems.empty() ? states : WeightsStates();
 }
 
 auto make_snapshot(Control const& control, Snapshot const& old, DocumentFormat const* form)
@@ -76,10 +76,10 @@
             if (item.value().is_string()) fresh->target_weights[item.key()] = std::string(item.value().as_string());
             if (item.value().is_int64()) fresh->target_versions[item.key()] = item.value().as_int64();
         }
-    fresh->named = named_here(control.version_history, fresh->target_versions);
+    fresh->version_times = times_up_to_target(control.version_history, fresh->target_versions);
     for (auto const& entry : fresh->list.replicas) fresh->replica_weights[entry.name].versions = entry.weights;
     for (auto partition = std::size_t{1}; partition <= service_partitions; ++partition)
-        take_words(*fresh, control.views[partition].live);
+        apply_published_states(*fresh, control.views[partition].live);
     auto const resting = read_object(control.views[resting_partition].copy.document);
     if (auto const* names = resting.if_contains("resting"); names != nullptr && names->is_array())
         for (auto const& name : names->as_array())
--- a/source/control/version_history.cpp
+++ b/source/control/version_history.cpp
@@ -15,21 +15,21 @@
     auto changed = false;
     for (auto const& [model, versions] : told) {
         VersionTimes other;
-        for (auto const& named : versions)
-            if (named.version > first_version)
-                other.at[named.version] = now - std::clamp(named.age, std::int64_t{0}, std::int64_t{longest_age});
+        for (auto const& target : versions)
+            if (target.version > first_version)
+                other.at[target.version] = now - std::clamp(target.age, std::int64_t{0}, std::int64_t{longest_age});
         auto& known = by_model[model];
         auto const newest = known.newest();
         changed = known.merge(other) || changed;
-        if (known.newest() > newest) learned_at = now;  // the teller may have heard of it just now, too
+        if (known.newest() > newest) learned_at = now;  // the sender may have learned of it just now as well
     }
     return changed;
 }
 
 auto VersionHistory::ages(Microseconds now) const -> VersionAgeLists {
     VersionAgeLists told;
-    for (auto const& [model, named] : by_model)
-        for (auto const& [version, moment] : named.at)
+    for (auto const& [model, times] : by_model)
+        for (auto const& [version, moment] : times.at)
             told[model].push_back({version, std::min(now - moment, longest_age)});
     return told;
 }
--- a/source/control/weights_controller.cpp
+++ b/source/control/weights_controller.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 namespace {
-constexpr auto no_words = std::string_view("{}");
+constexpr auto no_states = std::string_view("{}");
 
 auto listed_for(Snapshot const& snapshot, int partition, std::string const& model) -> std::vector<ListedReplica> {
     std::vector<ListedReplica> replicas;
@@ -16,9 +16,9 @@
     return replicas;
 }
 
-// A large service loads a sixth at a time, or its last replicas would load long
-// after the named version has to serve everywhere.
-auto places_for(std::size_t least, std::size_t replicas) -> std::size_t { return std::max(least, replicas / 6); }
+// A large service loads a sixth of its replicas at a time, or the last ones would load long
+// after the target version has to serve everywhere.
+auto load_slots_for(std::size_t least, std::size_t replicas) -> std::size_t { return std::max(least, replicas / 6); }
 
 auto address_of(Snapshot const& snapshot, std::string const& replica) -> std::string {
     for (auto const& entry : snapshot.list.replicas)
@@ -40,8 +40,8 @@
 
 auto WeightsController::step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions {
     ControllerActions actions;
-    for (auto const& [model, versions] : snapshot.named) named[model].merge(versions);
-    for (auto const& [model, version] : snapshot.target_versions) named[model].take(version, now);
+    for (auto const& [model, versions] : snapshot.version_times) version_times[model].merge(versions);
+    for (auto const& [model, version] : snapshot.target_versions) version_times[model].take(version, now);
     for (auto partition = 1; partition <= service_partitions; ++partition)
         step_partition(partition, control, snapshot, now, actions);
     return actions;
@@ -60,7 +60,7 @@
         std::erase_if(rollouts, [&](auto const& item) { return item.first.first == partition; });
         return;
     }
-    if (snapshot.list.replicas.empty()) return;  // not known yet: a former leader's words stay as they are
+    if (snapshot.list.replicas.empty()) return;  // not known yet: the former leader's published states stay
     auto const& view = control.views[static_cast<std::size_t>(partition)];
     auto const sure = control.proof_age(partition, now) <= one_second &&
         control.proof_age(configuration_partition, now) <= one_second;
@@ -68,35 +68,36 @@
     for (auto const& entry : snapshot.list.replicas)
         if (ordering_partition(entry) == partition)
             for (auto const& [model, version] : entry.weights) models.insert(model);
-    auto told = WeightsStates();
-    auto words = WeightsStates();
-    auto read_told = false;
+    auto published_states = WeightsStates();
+    auto states = WeightsStates();
+    auto have_published_states = false;
     auto behind = false;
     for (auto const& model : models) {
         auto const replicas = listed_for(snapshot, partition, model);
         auto const [place, fresh] = rollouts.try_emplace({partition, model});
         auto& rollout = place->second;
-        if (fresh) {  // what a former leader had under way is asked after first
-            if (!read_told) told = read_weights_states(view.live);
-            read_told = true;
+        if (fresh) {  // continue what a former leader had in progress
+            if (!have_published_states) published_states = read_weights_states(view.live);
+            have_published_states = true;
             rollout.target = snapshot.target_version(model);
             for (auto const& replica : replicas)
-                if (auto const word = told.find(replica.name); word != told.end())
-                    if (auto const version = word->second.versions.find(model); version != word->second.versions.end())
-                        rollout.adopt(replica, version->second, word->second.loading, now);
+                if (auto const state = published_states.find(replica.name); state != published_states.end())
+                    if (auto const version = state->second.versions.find(model);
+                        version != state->second.versions.end())
+                        rollout.adopt(replica, version->second, state->second.loading, now);
         }
         rollout.times.bound = bound;
-        rollout.named.merge(named[model]);
+        rollout.version_times.merge(version_times[model]);
         auto const fence = record.term;
         auto const ordering = waited && sure && may_order(control, partition, fence, now);
-        auto const places = places_for(at_once, replicas.size());
-        auto const due = rollout.step(snapshot.target_version(model), fence, ordering, places, replicas, now);
+        auto const load_slots = load_slots_for(at_once, replicas.size());
+        auto const due = rollout.step(snapshot.target_version(model), fence, ordering, load_slots, replicas, now);
         for (auto const& order : due.orders)
             actions.orders.push_back({order, address_of(snapshot, order.replica), model, fence, partition});
         for (auto const& replica : due.reports)
             actions.reports.push_back({replica, address_of(snapshot, replica), model, partition});
         for (auto const& note : due.notes) actions.notes.emplace_back(model, note);
-        rollout.words(model, words);
+        rollout.add_states(model, states);
         behind = behind || rollout.under_way();
     }
     actions.under_way = actions.under_way || behind;
@@ -106,9 +107,9 @@
                                                                                     : OrdersHeld::no;
     note_held(partition, behind ? reason : OrdersHeld::no, actions);
     if (!leased) return;
-    auto text = json::serialize(write_json(words));
-    if (text != view.live && !(text == no_words && view.live.empty()))
-        actions.words.emplace_back(partition, std::move(text));
+    auto text = json::serialize(write_json(states));
+    if (text != view.live && !(text == no_states && view.live.empty()))
+        actions.live_texts.emplace_back(partition, std::move(text));
 }
 
 auto WeightsController::note_held(int partition, OrdersHeld reason, ControllerActions& actions) -> void {
@@ -118,18 +119,18 @@
     actions.held.emplace_back(partition, reason);
 }
 
-auto WeightsController::figures(Microseconds now) const -> RolloutFigures {
-    RolloutFigures sum;
+auto WeightsController::collect_metrics(Microseconds now) const -> RolloutMetrics {
+    RolloutMetrics sum;
     for (auto const& [place, rollout] : rollouts) {
-        auto const figures = rollout.figures(now);
-        sum.behind += figures.behind;
-        sum.overdue += figures.overdue;
-        sum.oldest = std::max(sum.oldest, figures.oldest);
+        auto const metrics = rollout.collect_metrics(now);
+        sum.behind += metrics.behind;
+        sum.overdue += metrics.overdue;
+        sum.oldest = std::max(sum.oldest, metrics.oldest);
     }
     return sum;
 }
 
-auto WeightsController::order_ended(AddressedOrder const& order, OrderEnd end, Microseconds now) -> void {
+auto WeightsController::order_ended(AddressedOrder const& order, OrderResult end, Microseconds now) -> void {
     auto const found = rollouts.find({order.partition, order.model});
     if (found != rollouts.end()) found->second.order_ended(order.order.replica, end, now);
 }
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// A node's own guard against replicas of older weights, behind the leader's word:
-// near the end of the time in which named weights have to serve everywhere,
-// nothing new goes to replicas that hold older ones; nor, for a moment, to
-// replicas of models whose named version this node has not heard of in its life.
+// A node's own guard against replicas with older weights, in addition to the states that
+// the leader publishes: near the deadline by which target weights must serve everywhere, no
+// new requests go to replicas with older ones. After a start, the same holds for a short
+// time for models whose target version this node does not know yet.
 // docs/design.md section 11.4.
 #include <algorithm>
 #include <bitset>
@@ -15,57 +15,57 @@
 namespace dockrock {
 
 struct WeightsGuard {
-    static constexpr Microseconds patience = 3 * one_second;
-    Microseconds bound = 0;                             // named weights serve everywhere; none: no bound
-    std::bitset<partition_count> heard;                 // service partitions whose leader was heard of in this life
-    std::map<std::string, VersionTimes> named;          // by model
-    std::map<std::string, Microseconds> unheard_since;  // by model
+    static constexpr Microseconds startup_wait = 3 * one_second;
+    Microseconds bound = 0;                              // target weights serve everywhere by then; 0: no bound
+    std::bitset<partition_count> proven;                 // service partitions with a leader's proof since the start
+    std::map<std::string, VersionTimes> version_times;   // by model
+    std::map<std::string, Microseconds> unproven_since;  // by model
     std::set<std::string> withheld;
-    Microseconds judge_at = never;  // when the next replica's weights get late
+    Microseconds next_check_at = never;  // when the next replica becomes overdue
 
     static constexpr auto never = std::numeric_limits<Microseconds>::max();
 
-    auto take_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
-        for (auto const& [model, version] : targets) named[model].take(version, now);
+    auto learn_targets(std::map<std::string, std::int64_t> const& targets, Microseconds now) -> void {
+        for (auto const& [model, version] : targets) version_times[model].take(version, now);
     }
-    auto take_named(std::map<std::string, VersionTimes> const& known) -> void {
-        for (auto const& [model, versions] : known) named[model].merge(versions);
+    auto learn_times(std::map<std::string, VersionTimes> const& known) -> void {
+        for (auto const& [model, versions] : known) version_times[model].merge(versions);
     }
-    auto late_from(std::string const& model, std::int64_t version) const -> Microseconds {
-        auto const found = named.find(model);
-        auto const since = found == named.end() ? std::nullopt : found->second.named_after(version);
+    auto overdue_from(std::string const& model, std::int64_t version) const -> Microseconds {
+        auto const found = version_times.find(model);
+        auto const since = found == version_times.end() ? std::nullopt : found->second.superseded_at(version);
         return bound > 0 && since ? *since + bound - weights_margin : never;
     }
-    auto late(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
-        return now >= late_from(model, version);
+    auto is_overdue(std::string const& model, std::int64_t version, Microseconds now) const -> bool {
+        return now >= overdue_from(model, version);
     }
-    // Whether a version was named is not known yet; it is waited for so long.
-    auto unjudged(std::string const& model, int partition, Microseconds now) -> bool {
-        if (heard[static_cast<std::size_t>(partition)]) return false;
-        return now - unheard_since.try_emplace(model, now).first->second < patience;
+    // The target version is not known yet and `startup_wait` has not run out.
+    auto target_pending(std::string const& model, int partition, Microseconds now) -> bool {
+        if (proven[static_cast<std::size_t>(partition)]) return false;
+        return now - unproven_since.try_emplace(model, now).first->second < startup_wait;
     }
-    auto late_from(ReplicaWeights const& held) const -> Microseconds {
+    auto overdue_from(ReplicaWeights const& held) const -> Microseconds {
         auto earliest = never;
-        for (auto const& [model, version] : held.versions) earliest = std::min(earliest, late_from(model, version));
+        for (auto const& [model, version] : held.versions) earliest = std::min(earliest, overdue_from(model, version));
         return earliest;
     }
-    auto late(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= late_from(held); }
-    // Replicas are judged when something was heard of them, and again at this moment.
-    auto plan_judging(WeightsStates const& replicas, Microseconds now) -> void {
-        judge_at = never;
+    auto is_overdue(ReplicaWeights const& held, Microseconds now) const -> bool { return now >= overdue_from(held); }
+    // Replicas are checked when their state changes, and again at `next_check_at`.
+    auto schedule_check(WeightsStates const& replicas, Microseconds now) -> void {
+        next_check_at = never;
         for (auto const& [name, held] : replicas)
-            if (auto const from = late_from(held); from > now) judge_at = std::min(judge_at, from);
+            if (auto const from = overdue_from(held); from > now) next_check_at = std::min(next_check_at, from);
     }
-    // What is said to be named, or not to be, counts once its partition was heard of.
-    static auto heard_by(Control const& control) -> std::bitset<partition_count> {
+    // The targets of a partition, or their absence, are known once it had a proof.
+    static auto proven_partitions(Control const& control) -> std::bitset<partition_count> {
         std::bitset<partition_count> partitions;
         for (auto index = std::size_t{1}; index <= service_partitions; ++index)
             partitions[index] = control.views[index].proven_at > PartitionView().proven_at;
         return partitions;
     }
-    // True where it begins, to be told once.
-    auto withhold(std::string const& replica, bool is_late) -> bool {
-        if (is_late) return withheld.insert(replica).second;
+    // True if the replica was not withheld before, so that it is logged once.
+    auto withhold(std::string const& replica, bool overdue) -> bool {
+        if (overdue) return withheld.insert(replica).second;
         withheld.erase(replica);
         return false;
     }
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -120,7 +120,7 @@
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
     loss_tolerance.look(control, now);
-    auto const first_heard = form != nullptr && weights_guard.heard != WeightsGuard::heard_by(control);
+    auto const first_heard = form != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.snapshot_changed || first_heard) publish_snapshot();
     take_proof();
 }
@@ -142,7 +142,7 @@
     take_proof();
     judge_resting(clock_now());
     auto const guard = std::lock_guard(table.lock);
-    if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written here alone
+    if (form != nullptr) weights_guard.proven = WeightsGuard::proven_partitions(control);  // written here alone
     if (form != nullptr) take_services(*fresh);
     table.scheduler.load_table.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -67,7 +67,7 @@
         auto const now = clock_now();
         look_at_settings(now);
         auto guard = std::unique_lock(table.lock);
-        if (now >= weights_guard.judge_at) take_replica_weights(*snapshot.load());
+        if (now >= weights_guard.next_check_at) take_replica_weights(*snapshot.load());
         if (table.scheduler.waiting_count() > 0) schedule_locked(now);
         auto const& options = table.scheduler.options;
         auto const interval = table.scheduler.load_table.relayed ? options.relayed_interval : options.digest_interval;
--- a/tests/duty_helpers.hpp
+++ b/tests/duty_helpers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The duty of bringing replicas to the versions named, at every node of a simulated world.
+// Runs the weights controller at every node of a simulated world.
 // docs/design.md section 11.
 #include "control/weights_controller.hpp"
 #include "world_helpers.hpp"
@@ -39,7 +39,7 @@
     std::vector<Sent> sent;
     std::map<std::size_t, std::vector<OrdersHeld>> held;  // by node, as it changed
 
-    // Orders are lost on their way, so that every holder goes on ordering.
+    // Orders are lost in transit, so that every leader keeps ordering.
     auto step() -> void {
         world.run_until(world.now + 25 * one_millisecond);
         for (auto index = std::size_t{0}; index < world.nodes.size(); ++index) {
@@ -51,12 +51,12 @@
             auto const now = world.local(node);
             auto due = duties[index].step(node.control, snapshot_of(node), now);
             for (auto const& [partition, reason] : due.held) held[index].push_back(reason);
-            for (auto const& [partition, text] : due.words)
+            for (auto const& [partition, text] : due.live_texts)
                 world.act(index, node.control.live_read(partition, now, now, text));
             for (auto const& order : due.orders) {
                 if (!may_order(node.control, order.partition, order.fence, now)) continue;
                 sent.push_back({world.now, index, order.fence});
-                duties[index].order_ended(order, OrderEnd::unknown, now);
+                duties[index].order_ended(order, OrderResult::unknown, now);
             }
             for (auto const& report : due.reports)
                 duties[index].reported(report, ReportedWeights{1, false, 0}, now, now);
@@ -69,7 +69,7 @@
 
 inline auto name_version(World& world, std::int64_t version) -> void {
     auto const partition = partition_of_service(model);
-    for (auto const& node : world.nodes)  // as the operator's call does it, in numbers
+    for (auto const& node : world.nodes)  // like the operator call, with version numbers
         node->control.partitions[static_cast<std::size_t>(partition)].apply = [](Copy const&, Call const& call) {
             return ChangeResult{200, "", call.body};
         };
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -5,9 +5,9 @@
 
 using namespace dockrock;
 
-// Design 8.3: what matching may grant under a proof, the last checks let through;
-// else a request goes round between the two, and nothing else gets the processor.
-TEST_CASE("the last checks hold the proof limit that matching holds", "[course]") {
+// Design 8.3: the checks before sending accept every request that scheduling may grant under a proof.
+// Otherwise a request loops between the two and takes all processor time.
+TEST_CASE("the checks before sending use the same proof limit as scheduling", "[course]") {
     auto form = WireProtocol();
     auto node = std::make_unique<Node>();
     node->form = &form;
@@ -20,7 +20,7 @@
     node->table.scheduler.load_table.take_list(fresh->list);
     node->table.scheduler.load_table.take_weights("replica", "", false);
     auto const now = clock_now();
-    node->proven_at = now - 3 * one_second;  // older than the product's own limit
+    node->proven_at = now - 3 * one_second;  // older than the default limit
     auto lifecycle = RequestLifecycle();
     lifecycle.inference.number = 1;
     lifecycle.inference.body.model = "model";
--- a/tests/news_test.cpp
+++ b/tests/news_test.cpp
@@ -1,4 +1,4 @@
-// News as differences. docs/design.md section 8.
+// Document updates as differences. docs/design.md section 8.
 #include "world_helpers.hpp"
 
 using namespace dockrock;
@@ -12,14 +12,14 @@
     return item;
 }
 auto next_of(PartitionView item, std::string document) -> PartitionView {
-    remember(item);
+    keep_as_base(item);
     ++item.copy.sequence.number;
     item.copy.document = std::move(document);
     return item;
 }
 }  // namespace
 
-TEST_CASE("a difference makes the very document, and is sent only where it is smaller") {
+TEST_CASE("a difference yields the exact document, and is sent only if it is smaller") {
     auto const base = std::string(10'000, 'a') + "middle" + std::string(10'000, 'b');
     auto const asker = held(base);
     UpdateRequest ask;
@@ -27,23 +27,23 @@
     for (auto const& fresh :
          {std::string(10'000, 'a') + "other" + std::string(10'000, 'b'), base + "tail", "head" + base, base.substr(5),
           std::string(20'000, 'a'), std::string(), base + base}) {
-        auto const update = copy_for(next_of(asker, fresh), ask);
+        auto const update = make_update(next_of(asker, fresh), ask);
         CHECK(apply_update(asker, update) == fresh);
         CHECK(update.text.size() + size_of(update.edits) <= fresh.size());
     }
-    CHECK_FALSE(copy_for(next_of(asker, base + "tail"), ask).whole);
-    auto const appended = copy_for(next_of(asker, base + "tail"), ask).edits;
+    CHECK_FALSE(make_update(next_of(asker, base + "tail"), ask).whole);
+    auto const appended = make_update(next_of(asker, base + "tail"), ask).edits;
     REQUIRE(appended.size() == 1);
     CHECK(appended.front().put == "tail");
     ask.whole = true;
-    CHECK(copy_for(next_of(asker, base + "tail"), ask).whole);
+    CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
     ask.whole = false;
-    ask.have = {1, 0};  // not among those remembered
-    CHECK(copy_for(next_of(asker, base + "tail"), ask).whole);
+    ask.have = {1, 0};  // not among the earlier documents held
+    CHECK(make_update(next_of(asker, base + "tail"), ask).whole);
 }
 
-TEST_CASE("a difference that does not fit what is held is not applied") {
-    auto const update = copy_for(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
+TEST_CASE("a difference that does not match the document held is not applied") {
+    auto const update = make_update(next_of(held(std::string(1'000, 'a')), std::string(1'000, 'a') + "b"), [] {
         UpdateRequest ask;
         ask.have = {1, 1};
         return ask;
@@ -84,8 +84,8 @@
     CHECK(world->violations.empty());
 }
 
-TEST_CASE("a leader that lost its lease for a while tells its list to all, though it read it meanwhile") {
-    // A list was known by a number alone, and two texts could bear the same.
+TEST_CASE("a leader that lost its lease for a while distributes the list that it read meanwhile") {
+    // Lists were identified by a number only, and two texts could have the same one.
     auto world = formed(5);
     auto const holder = *world->leader(configuration_partition);
     auto const read = [&](std::size_t index, std::string const& text) {
--- a/tests/rollout_helpers.hpp
+++ b/tests/rollout_helpers.hpp
@@ -14,8 +14,8 @@
 
 constexpr auto load_time = 1'500 * one_millisecond;
 
-// Replicas as the rules have them: a report tells of a moment some time ago,
-// an order is taken once, a load takes its time.
+// Simulated replicas: a report describes a moment some time ago,
+// an order is accepted once, a load takes some time.
 struct Pool {
     struct Replica {
         std::int64_t version = 1;
@@ -31,7 +31,7 @@
     };
     VersionsRollout rollout;
     std::map<std::string, Replica> replicas;
-    std::map<std::string, std::pair<Microseconds, std::int64_t>> listed;  // the list is late
+    std::map<std::string, std::pair<Microseconds, std::int64_t>> listed;  // the list lags behind
     Microseconds now = 100 * one_second;
     std::int64_t target = 2;
     std::map<std::int64_t, Microseconds> named_at;
@@ -40,8 +40,8 @@
     std::size_t most_at_once = 0;
     int orders = 0;
     int reports = 0;
-    std::function<OrderEnd(VersionOrder const&, OrderEnd)> bend;  // what becomes of an order's answer
-    std::set<std::string> lost;                                   // the next order to these is lost
+    std::function<OrderResult(VersionOrder const&, OrderResult)> bend;  // may change the answer to an order
+    std::set<std::string> lost;                                         // the next order to these is lost
 
     explicit Pool(int count) {
         for (auto number = 0; number < count; ++number)
@@ -52,14 +52,14 @@
         replica.version = replica.loading;
         replica.loading = 0;
     }
-    auto take(Replica& replica, VersionOrder const& order) -> OrderEnd {
-        if (replica.version == order.version && replica.loading == 0) return OrderEnd::holds;
-        if (replica.loading != 0 || (order.orders && *order.orders != replica.orders)) return OrderEnd::conflict;
+    auto take(Replica& replica, VersionOrder const& order) -> OrderResult {
+        if (replica.version == order.version && replica.loading == 0) return OrderResult::already_held;
+        if (replica.loading != 0 || (order.orders && *order.orders != replica.orders)) return OrderResult::conflict;
         replica.loading = order.version;
         replica.done_at = now + replica.load;
         ++replica.orders;
         ++replica.loads;
-        return OrderEnd::taken;
+        return OrderResult::accepted;
     }
     auto step() -> void {
         now += 25 * one_millisecond;
@@ -82,7 +82,7 @@
         for (auto const& order : due.orders) {
             ++orders;
             auto const dropped = lost.erase(order.replica) > 0;
-            auto end = dropped ? OrderEnd::unknown : take(replicas[order.replica], order);
+            auto end = dropped ? OrderResult::unknown : take(replicas[order.replica], order);
             if (bend) end = bend(order, end);
             rollout.order_ended(order.replica, end, now);
         }
@@ -93,21 +93,21 @@
             else rollout.reported(name, replica.told.front().second, now, now);
         }
     }
-    // Names a version now; each one's time counts from its own naming.
+    // Sets a target version now; the bound of each target counts from its own time.
     auto name_version(std::int64_t version) -> void {
         target = version;
         named_at[version] = now;
     }
-    // How many get new requests though their weights are older than what has to
-    // serve everywhere: nodes send where no word forbids it.
+    // How many replicas get new requests although their weights are older than what has to
+    // serve everywhere: nodes send unless a published state forbids it.
     auto open_after(Microseconds time) const -> int {
-        auto words = WeightsStates();
-        rollout.words("m", words);
+        auto states = WeightsStates();
+        rollout.add_states("m", states);
         auto open = 0;
         for (auto const& [name, replica] : replicas) {
             auto const next = named_at.upper_bound(replica.version);
             if (next == named_at.end() || now - next->second < time || !replica.listed) continue;
-            open += words.contains(name) && words.at(name).loading ? 0 : 1;
+            open += states.contains(name) && states.at(name).loading ? 0 : 1;
         }
         return open;
     }
--- a/tests/small_service_test.cpp
+++ b/tests/small_service_test.cpp
@@ -1,4 +1,4 @@
-// What a service of few replicas keeps serving while named weights are loaded.
+// How many replicas of a small service keep serving while target weights are loaded.
 // docs/design.md section 11.1.
 #include "rollout_helpers.hpp"
 
@@ -10,13 +10,13 @@
 constexpr auto bound = 15 * one_second;
 constexpr auto heard = 100 * one_millisecond;  // a step or two of the leader
 
-// How many replicas are sent new requests now.
+// The number of replicas that get new requests now.
 auto serving(Pool const& pool) -> int {
-    auto words = WeightsStates();
-    pool.rollout.words("m", words);
+    auto states = WeightsStates();
+    pool.rollout.add_states("m", states);
     auto count = 0;
     for (auto const& [name, replica] : pool.replicas)
-        count += replica.silent || (words.contains(name) && words.at(name).loading) ? 0 : 1;
+        count += replica.silent || (states.contains(name) && states.at(name).loading) ? 0 : 1;
     return count;
 }
 
@@ -47,8 +47,8 @@
         if (!first.empty()) return end;
         first = order.replica;
         pool.replicas[first].silent = true;
-        pool.replicas[first].loading = 0;  // it never came
-        return OrderEnd::unknown;
+        pool.replicas[first].loading = 0;  // the order was lost
+        return OrderResult::unknown;
     };
     pool.name_version(2);
     for (auto const end = pool.now + bound - weights_margin - heard; pool.now < end; pool.step())
@@ -58,7 +58,8 @@
     CHECK(pool.open_after(bound - weights_margin + heard) == 0);
 }
 
-TEST_CASE("without a bound the last replica that serves waits for a silent one only while that holds its place") {
+TEST_CASE(
+    "without a bound the last replica that serves waits for a silent one only while that occupies its load slot") {
     auto pool = Pool(2);
     auto first = std::string();
     pool.bend = [&](auto const& order, auto end) {
--- a/tests/weights_holder_test.cpp
+++ b/tests/weights_holder_test.cpp
@@ -1,4 +1,4 @@
-// What the next holder of the duty knows of versions named and of orders under way.
+// What the next leader knows of target versions and of orders in progress.
 // docs/design.md sections 11.3 and 11.4.
 #include "control/weights_guard.hpp"
 #include "duty_helpers.hpp"
@@ -6,7 +6,7 @@
 using namespace dockrock;
 using namespace dockrock::simulation;
 
-TEST_CASE("the next holder counts from when the version was named and not from its own beginning") {
+TEST_CASE("the next leader counts from when the version became the target, not from its own start") {
     auto world = formed(15);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -26,11 +26,11 @@
     REQUIRE(*next != holder);
     auto const& node = *world->nodes[*next];
     auto const& rollout = duties.duties.at(*next).rollouts.at({partition, model});
-    REQUIRE(rollout.named.named_after(1));
-    CHECK(world->local(node) - *rollout.named.named_after(1) >= world->now - heard);
+    REQUIRE(rollout.version_times.superseded_at(1));
+    CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
 }
 
-TEST_CASE("a holder that restarted counts from when the version was named, as the other nodes do") {
+TEST_CASE("a leader that restarted counts from when the version became the target, like the other nodes") {
     auto world = formed(16);
     auto const partition = partition_of_service(model);
     auto const give_list = [&] {
@@ -64,7 +64,7 @@
     while (!led_again()) {
         REQUIRE(world->now - heard < 60 * one_second);
         duties.run(one_second);
-        // A holder that did not restart gives way to one that did.
+        // Leadership moves from a node that did not restart to one that did.
         auto const leader = world->leader(partition);
         auto pending = false;
         if (leader && !led_again())
@@ -76,13 +76,13 @@
     auto const holder = *world->leader(partition);
     auto const& node = *world->nodes[holder];
     auto const& rollout = duties.duties.at(holder).rollouts.at({partition, model});
-    REQUIRE(rollout.named.named_after(1));
-    CHECK(world->local(node) - *rollout.named.named_after(1) >= world->now - heard);
-    REQUIRE(rollout.named.named_after(2));
-    CHECK(*rollout.named.named_after(2) - *rollout.named.named_after(1) >= 4 * one_second);
+    REQUIRE(rollout.version_times.superseded_at(1));
+    CHECK(world->local(node) - *rollout.version_times.superseded_at(1) >= world->now - heard);
+    REQUIRE(rollout.version_times.superseded_at(2));
+    CHECK(*rollout.version_times.superseded_at(2) - *rollout.version_times.superseded_at(1) >= 4 * one_second);
 }
 
-TEST_CASE("a holder that does not know the list yet leaves the words of the former one as they are") {
+TEST_CASE("a leader that does not know the list yet leaves the states published by the former one") {
     auto world = formed(17);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -98,7 +98,7 @@
     CHECK(snapshot_of(node).replica_weights.at("a") == ReplicaWeights{{{model, 2}}, true});
 }
 
-TEST_CASE("ages of a version that the partition does not name withhold no replica") {
+TEST_CASE("ages of a version that is not the partition's target withhold no replica") {
     auto world = formed(18);
     auto const partition = partition_of_service(model);
     auto const holder = *world->leader(partition);
@@ -113,9 +113,9 @@
     auto const told = VersionAges{false, {{model, {{5, 60 * one_second}}}}};
     world->act(holder, node.control.receive(world->local(node), "former", "former", told));
     duties.run(2 * one_second);
-    CHECK(duties.duties.at(holder).rollouts.at({partition, model}).figures(world->local(node)).overdue == 0);
+    CHECK(duties.duties.at(holder).rollouts.at({partition, model}).collect_metrics(world->local(node)).overdue == 0);
     auto guard = WeightsGuard();
     guard.bound = bound;
-    guard.take_named(snapshot_of(node).named);
-    CHECK_FALSE(guard.late(model, 1, world->local(node)));
+    guard.learn_times(snapshot_of(node).version_times);
+    CHECK_FALSE(guard.is_overdue(model, 1, world->local(node)));
 }
