--- a/source/connection/chunk.hpp
+++ b/source/connection/chunk.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// Pieces of a body without a length, as chunks of HTTP/1.1 (RFC 9112, section 7.1).
+// Chunked transfer coding for bodies of unknown length (RFC 9112, section 7.1).
 #include <array>
 #include <charconv>
 #include <string>
 
 namespace dockrock {
 
-// Empty bytes make no chunk; the last one ends the body.
+// Encodes `bytes` as one chunk; empty input writes none, since an empty chunk would end the body. `last` appends the
+// terminating chunk.
 inline auto chunk_of(std::string const& bytes, bool last) -> std::string {
     std::string text;
     if (!bytes.empty()) {
--- a/source/connection/control_calls.cpp
+++ b/source/connection/control_calls.cpp
@@ -1,4 +1,4 @@
-// What operators and the platform ask of a node. docs/interfaces.md.
+// HTTP control API of a node, for operators and the platform. docs/interfaces.md.
 #include "connection/losses.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/node_call.hpp"
@@ -111,7 +111,7 @@
     } else if (target == "/control/configuration" && method == http::verb::put) {
         if (request.body().size() > configuration_limit)
             co_return co_await answer(request, 413, fields("error", "the configuration is larger than 1048576 bytes"));
-        auto const checked = check_configuration(request.body());  // answered here where it cannot be taken anywhere
+        auto const checked = check_configuration(request.body());  // an invalid document is rejected by this node
         if (!checked.problems.empty())
             co_return co_await answer(
                 request, 400,
--- a/source/connection/http_client.cpp
+++ b/source/connection/http_client.cpp
@@ -53,7 +53,6 @@
     open = false;
 }
 
-// For what has to be decided at the last moment: the call itself follows at once.
 auto HttpConnection::open_to(std::string address, Microseconds limit) -> awaitable<bool> {
     if (open) co_return true;
     auto const endpoint = endpoint_of(address);
@@ -75,7 +74,7 @@
     auto const endpoint = endpoint_of(address);
     if (!endpoint) co_return answer;
     if (open && (buffer.size() > 0 || !is_quiet(stream.socket()))) {
-        auto const opened_for_this = !used;  // what it was opened for may no longer hold
+        auto const opened_for_this = !used;  // the decision made when it was opened may be outdated: do not reconnect
         close();
         if (opened_for_this) co_return answer;
     }
@@ -83,7 +82,7 @@
     if (!co_await open_to(address, limit)) co_return answer;
     used = true;
     auto const request = make_request(wanted, address);
-    answer.end = CallEnd::no_answer;  // until there is one
+    answer.end = CallEnd::no_answer;  // from here on the peer may receive the call
     if (auto const [failure, size] = co_await http::async_write(stream, request, use_tuple); failure) {
         close();
         co_return answer;
--- a/source/connection/http_client.hpp
+++ b/source/connection/http_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// HTTP/1.1 calls to back ends, through Beast. docs/design.md section 9.7.
+// HTTP/1.1 client for calls to back ends, built on Boost.Beast. docs/design.md section 9.7.
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -30,6 +30,7 @@
 using asio::ip::tcp;
 inline constexpr auto use_tuple = asio::as_tuple(asio::use_awaitable);
 
+// A request to a back end. The content type is sent only with a body.
 struct HttpCall {
     http::verb method = http::verb::get;
     std::string target;
@@ -37,8 +38,8 @@
     std::string content_type = "application/json";
     std::vector<std::pair<std::string, std::string>> headers;
 };
-// A named maker: braced temporaries inside a co_await are destroyed twice by
-// the compiler we build with, so calls are made before they are awaited.
+// Builds a call outside of the co_await expression: the compiler we build with destroys braced temporaries inside a
+// co_await twice.
 inline auto http_ask(http::verb method, std::string target, std::string body = std::string()) -> HttpCall {
     HttpCall call;
     call.method = method;
@@ -48,40 +49,42 @@
 }
 enum class CallEnd : int {
     not_sent,   // nothing was written
-    no_answer,  // silence, a broken connection, or what is no answer: the call may have been taken
+    no_answer,  // timeout, broken connection or malformed response: the peer may have processed the call
     answered,
 };
 struct HttpAnswer {
     CallEnd end = CallEnd::not_sent;
-    int status = 0;  // where it was answered
+    int status = 0;  // valid only if `end` is `answered`
     std::string body;
     std::string content_type;
     std::string etag;
 };
 
+// Parses "IP:PORT"; nothing if either part is invalid. Host names are not resolved.
 auto endpoint_of(std::string const& address) -> std::optional<tcp::endpoint>;
 auto make_request(HttpCall const& call, std::string const& address) -> http::request<http::string_body>;
 
-// Nothing to read and not closed: the only state in which an idle connection is
-// good. Bytes that wait there belong to no call that is still to be made.
+// Whether the socket is open and has no unread bytes: only then can an idle connection be reused. Unread bytes cannot
+// be the response to a call that has not been sent yet.
 auto is_quiet(tcp::socket& socket) -> bool;
 
-// One connection kept for several calls; reopened where it was lost or holds
-// bytes that no call asked for.
+// A persistent connection for several calls; reopened if it was lost or holds unsolicited bytes.
 struct HttpConnection {
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
     bool open = false;
-    bool used = false;  // a call has been made on it
+    bool used = false;  // at least one call was sent on it
     explicit HttpConnection(asio::any_io_executor executor) : stream(std::move(executor)) {}
+    // Connects if the connection is not open, so that a caller can make its final decision right before `call`.
     auto open_to(std::string address, Microseconds limit) -> awaitable<bool>;
     auto call(std::string address, HttpCall wanted, Microseconds limit) -> awaitable<HttpAnswer>;
     auto close() -> void;
 };
 
+// Makes one call on a new connection and closes it.
 auto http_call(std::string address, HttpCall wanted, Microseconds limit) -> awaitable<HttpAnswer>;
 
-// For command lines: one call, waited for; the key goes along where given.
+// Blocking call for command-line programs; a non-empty key is sent as a bearer token.
 auto http_call_and_wait(std::string const& address, HttpCall call, std::string const& key) -> HttpAnswer;
 
 }  // namespace dockrock
--- a/source/connection/http_message.hpp
+++ b/source/connection/http_message.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// HTTP/1.1 messages as they were received. Names and values may have any length: what bounds them is the reader's
-// limit for a whole head. The library's own message holds at most 65,533 bytes a field. docs/requests.md.
+// Received HTTP/1.1 messages. Field names and values have no limit of their own, only the reader's limit for the whole
+// head; Beast's message type cannot be used because it holds at most 65,533 bytes per field. docs/requests.md.
 #include <boost/beast/core/string.hpp>
 #include <boost/beast/http/field.hpp>
 #include <boost/beast/http/verb.hpp>
@@ -12,7 +12,7 @@
 
 namespace http = boost::beast::http;
 
-// One field line of a head.
+// One header field line.
 struct HeadField {
     std::string name;
     std::string value;
@@ -23,22 +23,22 @@
     return {name.data(), name.size()};
 }
 
-// The field lines of a head in the order in which they came; names are compared without regard to case.
+// The header field lines in the order received; names are compared case-insensitively.
 struct HeadFields {
     std::vector<HeadField> lines;
 
-    // Appends a line, also where there is one of this name.
+    // Appends a line, even if one with this name exists.
     auto add(std::string_view name, std::string_view value) -> void;
-    // In place of all lines of this name.
+    // Replaces all lines with this name.
     auto set(std::string_view name, std::string_view value) -> void;
-    // The first line of this name; nullptr: there is none.
+    // The first line with this name, or nullptr.
     auto find(std::string_view name) const -> HeadField const*;
     auto count(std::string_view name) const -> std::size_t;
-    // Of the first line of this name; empty where there is none.
+    // The value of the first line with this name, or empty.
     auto value_of(std::string_view name) const -> std::string_view;
 };
 
-// A request as a client, an operator or the platform sent it.
+// A request received from a client, an operator or the platform.
 struct HttpRequest {
     HeadFields fields;
 
@@ -55,7 +55,7 @@
     auto version() const -> unsigned { return version_number; }  // 10 or 11
     auto body() const -> std::string const& { return content; }
     auto body() -> std::string& { return content; }
-    // Whether the connection may be used for another request after this one.
+    // Whether the connection may carry another request after this one.
     auto keep_alive() const -> bool { return persistent; }
     auto keep_alive(bool wanted) -> void { persistent = wanted; }
     auto has_content_length() const -> bool { return fields.find(name_of(http::field::content_length)) != nullptr; }
@@ -85,14 +85,14 @@
     std::string content;
 };
 
-// An answer as a replica or another back end sent it.
+// A response received from a replica or another back end.
 struct ReceivedAnswer {
-    unsigned version = 11;  // or 10
+    unsigned version = 11;  // 10 or 11
     int status = 0;
-    std::string reason;  // the text behind the status
+    std::string reason;  // the reason phrase of the status line
     HeadFields fields;
-    bool keep_alive = true;  // the connection may be used for another request after it
-    std::string body;        // what has come and was not taken yet
+    bool keep_alive = true;  // the connection may carry another request after this response
+    std::string body;        // bytes received and not yet taken by the caller
 
     auto operator[](http::field field) const -> std::string_view { return fields.value_of(name_of(field)); }
     auto operator[](std::string_view name) const -> std::string_view { return fields.value_of(name); }
--- a/source/connection/lingering_close.hpp
+++ b/source/connection/lingering_close.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// A connection that ends while its peer may still be sending. Closed at once, it would be reset, and the peer might
-// never see the answer that was written before.
+// Lingering close of a connection whose peer may still be sending. An immediate close would reset the connection, and
+// the peer might lose the response that was written before.
 #include "connection/http_client.hpp"
 
 namespace dockrock {
 
-// Says that nothing more follows, then reads and drops what comes, until the peer closes or a limit has passed.
+// Shuts down the sending side, then reads and discards input until the peer closes or a time limit has passed.
 auto close_lingering(beast::tcp_stream& stream) -> awaitable<void>;
 
 }  // namespace dockrock
--- a/source/connection/losses.hpp
+++ b/source/connection/losses.hpp
@@ -1,23 +1,25 @@
 #pragma once
-// What losses of core nodes the fleet stands, for its operators. docs/operators.md.
+// How many core nodes the fleet can lose, reported to its operators. docs/operators.md.
 #include <atomic>
 
 #include "control/control.hpp"
 
 namespace dockrock {
 
-// Whether the fleet stands one more lost core node, as far as this node sees; if not, why.
+// The reasons why the fleet could not tolerate the loss of one more core node, as seen by this node; empty if it could.
 auto loss_problems(Control const& control, Microseconds now) -> json::array;
-// How many core nodes may be lost at once now, with their disks: what lives of the voters over a
-// majority, and of each group over one copy; a leader counts the copies that it was told are synced.
+// How many core nodes could be lost simultaneously now, disks included: the minimum over all partitions of the live
+// voters beyond a majority and the live copies beyond one. A leader counts only followers that reported the committed
+// state as synced. 0 if a partition has no fresh proof of a leased leader.
 auto losses_borne(Control const& control, Microseconds now) -> std::size_t;
 
-// That number as it was last looked at, and since when it has been so; read by any thread.
+// The last computed tolerance and the time since it has had this value; readable from any thread.
 struct LossesBorne {
     std::atomic<std::size_t> count{0};
     std::atomic<Microseconds> since{0};
     Microseconds looked_at = 0;
 
+    // Recomputes the tolerance, at most every 200 ms.
     auto look(Control const& control, Microseconds now) -> void;
 };
 
--- a/source/connection/message_parser.hpp
+++ b/source/connection/message_parser.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// The library's parser of HTTP/1.1, storing into messages of our own (connection/http_message.hpp). It makes no room
-// for a body before its bytes have come, and trailers are dropped: merged into the head they would pass for fields
-// that were judged (RFC 9110, 6.5.1). What the library lets through and HTTP/1.1 does not is an error here
-// (connection/message_grammar.hpp), so that no reader gets it as a message.
+// Beast's HTTP/1.1 parser, storing into the messages of connection/http_message.hpp. It allocates no memory for a body
+// before its bytes arrive, and drops trailers: merged into the head they would be taken for fields that were checked
+// (RFC 9110, 6.5.1). Input that Beast accepts and HTTP/1.1 forbids is an error (connection/message_grammar.hpp), so
+// that no reader sees it as a message.
 #include <boost/beast/http/basic_parser.hpp>
 #include <boost/beast/http/error.hpp>
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace dockrock {
 
-// The library is extended by deriving from its parser; there is no other way (scripts/check_files.py).
+// Beast's parser can be extended only by inheritance, hence the exception from the rule in scripts/check_files.py.
 template <bool is_request>
 class MessageParser final : public http::basic_parser<is_request> {
    public:
@@ -25,30 +25,30 @@
     auto get() -> Message& { return message; }
     auto get() const -> Message const& { return message; }
     auto release() -> Message { return std::move(message); }
-    // The most bytes of the start line and all fields together; http::error::header_limit beyond. The library's own
-    // limit is for what it parses at once.
+    // Maximum size of the start line and all fields together, in bytes; http::error::header_limit beyond. Beast's own
+    // limit applies only to what it parses in one call.
     auto limit_head(std::uint32_t bytes) -> void {
         this->header_limit(bytes);
         most_in_head = bytes;
     }
-    // The most bytes of a body that are stored at once; http::error::body_limit beyond.
+    // Maximum number of body bytes stored at a time; http::error::body_limit beyond.
     auto limit_stored_body(std::size_t bytes) -> void { most_stored = bytes; }
-    // Takes the room for this message from `share`: its head, its body and the buffer it is read into;
-    // errc::not_enough_memory where it gives none.
+    // Charges this message's memory to `share`: its head, its body and the buffer it is read into. Parsing fails with
+    // errc::not_enough_memory when the share cannot grow.
     auto count_in(MemoryShare& share) -> void { room = &share; }
-    // Room for a buffer of `bytes` until the message is read. False: there is none.
+    // Reserves memory for a read buffer of `bytes`; false if the share cannot grow.
     auto hold_buffer(std::size_t bytes) -> bool {
         if (bytes <= buffer_bytes) return true;
         if (!has_room(bytes, head_bytes, body().capacity())) return false;
         buffer_bytes = bytes;
         return true;
     }
-    // The buffer holds no more than `bytes` from here on.
+    // Releases the memory of the read buffer beyond `bytes`.
     auto shrink_buffer(std::size_t bytes) -> void {
         buffer_bytes = bytes;
         if (room != nullptr) room->shrink_to(buffer_bytes + head_bytes + body().capacity());
     }
-    // The head of a chunked body has been read, and nothing behind it.
+    // Whether the head of a chunked message has been read, and nothing of its body.
     auto awaits_first_chunk() const -> bool {
         return this->is_header_done() && this->chunked() && !chunk_seen && !this->is_done();
     }
@@ -57,7 +57,7 @@
     using View = boost::beast::string_view;
     using ErrorCode = boost::system::error_code;
 
-    static constexpr auto field_framing = std::size_t{4};  // colon, blank, CR, LF
+    static constexpr auto field_framing = std::size_t{4};  // colon, space, CR, LF
     static constexpr auto default_head_limit = std::size_t{16U << 10U};
 
     Message message;
@@ -90,14 +90,14 @@
         failure = in_head > most_in_head ? ErrorCode(http::error::header_limit) : ErrorCode();
     }
 
-    // A field costs its own size beside its text, and once more while the lines are moved to a larger place.
+    // A field costs its text and two HeadField objects: reallocating the lines holds the old and the new at once.
     auto count_field(std::size_t bytes, ErrorCode& failure) -> void {
         auto const stored = head_bytes + bytes + 2 * sizeof(HeadField);
         if (has_room(buffer_bytes, stored, body().capacity())) head_bytes = stored;
         else failure = make_error_code(boost::system::errc::not_enough_memory);
     }
 
-    // Doubled as bytes come, to no more than the head says: what it names makes no room by itself.
+    // Grows by doubling as bytes arrive, up to the Content-Length; a large Content-Length alone allocates nothing.
     auto capacity_for(std::size_t size) -> std::size_t {
         auto const doubled = std::max(size, 2 * body().capacity());
         auto const left = this->is_header_done() ? this->content_length_remaining() : boost::none;
@@ -110,7 +110,7 @@
         auto const capacity = capacity_for(size);
         if (!has_room(buffer_bytes, head_bytes, capacity)) return false;
         auto larger = std::string();
-        larger.reserve(capacity);  // of a fresh text: one that grows takes twice as much
+        larger.reserve(capacity);  // in a new string: growing an existing one may allocate twice as much
         larger.append(body());
         body().swap(larger);
         return true;
--- a/source/connection/message_reader.cpp
+++ b/source/connection/message_reader.cpp
@@ -14,7 +14,8 @@
 enum class Goal : int { head, some, whole };
 
 constexpr auto most_read_at_once = std::size_t{64U << 10U};
-// `0 CR LF CR LF`. With the first chunk's header the library asserts that as many are there, though fewer may be.
+// `0 CR LF CR LF`. When it parses the first chunk header, Beast asserts that this many bytes are buffered, although
+// fewer may have arrived.
 constexpr auto least_chunked_body = std::size_t{5};
 
 auto note_fault(char const* what) -> void {
@@ -31,7 +32,8 @@
 
 auto no_room() -> error_code { return make_error_code(boost::system::errc::not_enough_memory); }
 
-// Calls the library on input. What it throws, for want of room or by an assertion, is an error of this message.
+// Runs a Beast operation on input. An exception (out of memory, or a failed assertion) becomes the error code of this
+// message.
 template <typename Operation>
 auto on_input(error_code& failure, Operation operation) -> void {
     try {
@@ -46,7 +48,7 @@
     }
 }
 
-// Parses what is buffered; how many bytes were used.
+// Parses the buffered bytes; returns how many were consumed.
 template <bool is_request>
 auto parse(beast::flat_buffer& buffer, MessageParser<is_request>& parser, error_code& failure) -> std::size_t {
     auto used = std::size_t{0};
@@ -76,7 +78,7 @@
     return goal == Goal::some && used > 0;
 }
 
-// Of the buffer once `more` bytes can be put into it: it grows to twice what it holds, or to what is wanted.
+// The buffer's capacity after preparing `more` bytes: flat_buffer grows to twice its size, or to what is needed.
 auto capacity_with(beast::flat_buffer const& buffer, std::size_t more) -> std::size_t {
     auto const least = buffer.size() + more;
     return least <= buffer.capacity() ? buffer.capacity() : std::max(2 * buffer.size(), least);
--- a/source/connection/message_reader.hpp
+++ b/source/connection/message_reader.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// The one reader of HTTP messages: requests of clients, operators and the platform, answers of replicas and other
-// back ends. Whatever a peer sends, it gets a message or an error code: an exception or a failed assertion of the
-// library ends with an error too, is logged, and is counted in `message_reader_faults`.
+// The only reader of HTTP messages: requests from clients, operators and the platform, responses from replicas and
+// other back ends. Any input yields a message or an error code: an exception or failed assertion inside Beast is turned
+// into an error, logged, and counted in `message_reader_faults`.
 #include <atomic>
 
 #include "connection/http_client.hpp"
@@ -9,46 +9,46 @@
 
 namespace dockrock {
 
-// Bytes of a chunk's header, or of trailers, that are held until they are whole.
+// Maximum size of a chunk header or of the trailers, in bytes: they are buffered until complete.
 inline constexpr auto chunk_framing_limit = std::size_t{16U << 10U};
 
-inline constexpr auto most_interim_answers = 100;  // before one answer
+inline constexpr auto most_interim_answers = 100;  // before a final response
 
-// A configured limit for heads, as the library takes it.
+// Clamps a configured head limit to the range that Beast accepts.
 auto head_limit(std::int64_t bytes) -> std::uint32_t;
 
-// Exceptions and assertions of the library that were met in the input since the start.
+// Number of exceptions and failed assertions inside Beast caused by input, since the process started.
 auto message_reader_faults() -> std::atomic<std::uint64_t>&;
 
-// Answers since the start that were none: malformed, or beyond a limit.
+// Number of responses that were malformed or exceeded a limit, since the process started.
 auto malformed_answers() -> std::atomic<std::uint64_t>&;
 
-// Reads until the head is whole; what came behind it stays in `buffer`. Errors: those of the stream, of the library
-// (http::error), end_of_stream where nothing came; not_enough_memory or protocol_error for what the library threw.
+// Reads until the head is complete; bytes after it stay in `buffer`. Errors: those of the stream and of Beast
+// (http::error), end_of_stream if nothing arrived, not_enough_memory or protocol_error if Beast threw.
 template <typename Stream, bool is_request>
 auto read_head(Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<boost::system::error_code>;
 
-// Reads the heads of interim answers and drops them, then the head behind them; http::error::header_limit beyond
-// `most_interim_answers`. `parser` is made anew for each, with this limit for the body of the answer.
+// Reads the head of the final response, discarding interim ones; http::error::header_limit beyond
+// `most_interim_answers`. `parser` is recreated for each head, with `body_limit` for the response body.
 auto read_final_head(
     beast::tcp_stream& stream, beast::flat_buffer& buffer, std::optional<AnswerParser>& parser,
     boost::optional<std::uint64_t> body_limit) -> awaitable<boost::system::error_code>;
 
-// Reads until more of the body has come, or its end. The body is the caller's to take and clear.
+// Reads until more of the body has arrived, or its end. The caller takes and clears the stored bytes.
 template <typename Stream, bool is_request>
 auto read_some(Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<boost::system::error_code>;
 
-// Reads until the message is whole, within the limits that `parser` was given.
+// Reads until the message is complete, within the limits set on `parser`.
 template <typename Stream, bool is_request>
 auto read_whole(Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<boost::system::error_code>;
 
-// After a request was read: the buffer keeps what came behind it, in no more room than that takes.
+// Shrinks the buffer, after a request was read, to the bytes that follow the request.
 auto release_buffer(beast::flat_buffer& buffer, RequestParser& parser) -> void;
 
-// Whether an error is one of the message, not of its connection: its sender may be told so.
+// Whether an error means an invalid message rather than a broken connection, so that its sender can still be answered.
 auto is_malformed(boost::system::error_code const& failure) -> bool;
 
 }  // namespace dockrock
--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -1,4 +1,4 @@
-// A node's figures as text, for whoever collects them. docs/operators.md.
+// A node's metrics in the Prometheus text format. docs/operators.md.
 #include "connection/message_reader.hpp"
 #include "process/machine_limits.hpp"
 #include "process/node.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Limits that are not set are left out.
+// Writes the process's limits and usage; limits that are not set are omitted.
 auto write_machine(std::string& text, MachineLimits const& limits, ProcessUse const& use) -> void {
     auto const line = [&](char const* name, std::uint64_t value) {
         if (value != no_limit) text += std::string("dockrock_") + name + " " + std::to_string(value) + "\n";
--- a/source/connection/node_call.cpp
+++ b/source/connection/node_call.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr auto copies_of_change = std::uint64_t{16};  // on its way, and where it is judged, kept, saved and told on
-constexpr auto copies_of_read = std::uint64_t{3};     // answered, in the response, and as it is written
-constexpr Microseconds room_limit = one_second / 2;   // operators turn to another node after a second of silence
+constexpr auto copies_of_change = std::uint64_t{16};  // while it is sent, validated, held, saved and replicated
+constexpr auto copies_of_read = std::uint64_t{3};     // call result, HTTP response, and serialized output
+constexpr Microseconds room_limit = one_second / 2;   // operators switch to another node after 1 s without a response
 constexpr Microseconds room_look_interval = 20 * one_millisecond;
 
-// No more than half of the budget, so that one call always finds room.
+// At most half of the memory budget, so that a single call can always be admitted.
 auto room_for(Node const& node, Call const& call) -> std::uint64_t {
     auto const wanted = call.operation == "get" ? copies_of_read * node.snapshot.load()->document_bytes
                                                 : copies_of_change * call.body.size();
--- a/source/connection/node_call.hpp
+++ b/source/connection/node_call.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// What operators ask of the control machines, within the memory that there is for it. docs/CAPACITY.md.
+// Operator calls to the control state, bounded by the node's memory budget. docs/CAPACITY.md.
 #include "base/memory_budget.hpp"
 #include "process/node.hpp"
 
 namespace dockrock {
 
-// Makes the call once `room` has taken what this node will hold of it at once: the copies of a change on its way, or of
-// the document on its way back. 503 where that is not left for half a second. `room` is the caller's until the answer
-// has been written.
+// Makes the call once `room` has reserved the memory that the node will hold for it at a time: the copies of a change,
+// or of the document that is returned. 503 if that much stays unavailable for half a second. The caller keeps `room`
+// until the response has been written.
 auto node_call(Node& node, Call call, MemoryShare& room) -> awaitable<CallDone>;
 
 }  // namespace dockrock
--- a/source/connection/peers_status.hpp
+++ b/source/connection/peers_status.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The connections to other nodes, as the status tells of them. docs/operators.md.
+// The connections to other nodes, for the status document. docs/operators.md.
 #include "base/json_structs.hpp"
 #include "process/transport.hpp"
 
--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -1,4 +1,4 @@
-// Readiness, and the operator's calls in a relaying fleet. docs/platform.md section 6.
+// Readiness endpoint and operator API in a relaying fleet. docs/platform.md section 6.
 #include "connection/lingering_close.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/node_call.hpp"
@@ -25,7 +25,7 @@
     response.keep_alive(request.keep_alive());
     response.body() = std::move(body);
     response.prepare_payload();
-    if (request.method() == http::verb::head) response.body().clear();  // its length is told all the same
+    if (request.method() == http::verb::head) response.body().clear();  // its Content-Length stays
     return response;
 }
 
@@ -59,13 +59,13 @@
     }
     auto const reads = call.operation == "get";
     auto done = co_await node_call(node, std::move(call), room);
-    if (done.status == 504) done.status = 503;  // not known: the same call, sent again, finds what became of it
+    if (done.status == 504) done.status = 503;  // outcome unknown; a retry of the same call returns it
     if (reads && done.status == 200 && done.body.empty())
         co_return response_of(request, 404, error_text("no configuration yet"));
     co_return response_of(request, done.status, std::move(done.body));
 }
 
-// `room`: held until the answer has been written.
+// Handles one request; the memory reserved in `room` is held until the response has been written.
 using Answerer = std::function<awaitable<HttpResponse>(Node&, HttpRequest const&, MemoryShare& room)>;
 
 auto serve_calls(Node& node, tcp::socket socket, Answerer answerer) -> awaitable<void> {
@@ -118,8 +118,7 @@
     return static_cast<std::uint64_t>(client_connections.load()) < most_client_connections;
 }
 
-// A client that finds no room waits to be accepted. Whoever asks whether the node is ready, and operators, always have
-// it.
+// At the connection limit, clients wait in the listen backlog. Readiness probes and operators are always accepted.
 auto Node::relay_accept(tcp::acceptor& from, RelayDoor door) -> awaitable<void> {
     while (!finished) {
         if (door == RelayDoor::front && !has_room_for_client()) {
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -1,4 +1,4 @@
-// Heads of requests and answers that are relayed. docs/platform.md section 4.
+// Builds the heads of relayed requests and responses. docs/platform.md section 4.
 #include <boost/beast/core/string.hpp>
 #include <set>
 
@@ -11,7 +11,7 @@
 using View = boost::beast::string_view;
 
 constexpr auto most_urgent = 0;
-constexpr auto unknown_weights = std::string_view("unknown-");  // no version: those are numbers
+constexpr auto unknown_weights = std::string_view("unknown-");  // never equals a version: those are numbers
 
 constexpr auto connection_fields = std::to_array<std::string_view>(
     {"connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "proxy-connection",
@@ -24,7 +24,7 @@
     auto operator()(View left, View right) const -> bool { return beast::iless()(left, right); }
 };
 
-// Names that concern one connection: the fixed ones, and those that any `Connection` line of this head lists.
+// Hop-by-hop field names: the fixed ones, and those listed by the `Connection` fields of this head.
 struct ConnectionNames {
     std::set<View, NamesWithoutCase> listed;
 
@@ -50,7 +50,8 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-// Parts made under weights that are not known, and so may be any, are shared with no other request.
+// The prefix cache salt of a request. If the replica's weights are unknown, the salt is unique to the request, so that
+// its cache entries are shared with no other request.
 auto salt_for(Course const& course, std::string_view identity) -> std::string {
     auto const& wall = course.ticket.wall_domain;
     if (!course.placement.weights.empty()) return salt_of(wall, course.placement.weights);
@@ -66,7 +67,7 @@
 }
 
 auto refusal_reason(int status) -> std::string {
-    if (status == 421) return "weights";  // another life, or other weights
+    if (status == 421) return "weights";  // the replica has restarted, or has other weights
     return status == 400 ? "bad" : "busy";
 }
 
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -1,4 +1,5 @@
-// The output of a try: passed on as it comes, waited for no longer than the request, or older weights, may.
+// Streams the output of a try to the client as it arrives. The wait for output is limited by the request's deadline
+// and, on replicas with older weights, by the time in which they must begin.
 #include "connection/chunk.hpp"
 #include "connection/relay_try.hpp"
 #include "process/clock.hpp"
@@ -10,17 +11,17 @@
 
 constexpr Microseconds silence_limit = 30 * one_second;
 constexpr auto content_encoding = std::string_view("Content-Encoding");
-constexpr Microseconds past_deadline = 200 * one_millisecond;  // an answer under way may still come whole
+constexpr Microseconds past_deadline = 200 * one_millisecond;  // lets an answer in progress complete
 
 }  // namespace
 
-// How long the next bytes of an answer that has begun are waited for.
+// Timeout for the next bytes of a response whose head has arrived.
 auto RelayTry::answer_patience() const -> std::chrono::microseconds {
     auto const end = output_seen ? until + past_deadline : std::min(until + past_deadline, begin_by);
     return std::chrono::microseconds(std::clamp(end - clock_now(), one_millisecond, silence_limit));
 }
 
-// Where the time ran out that the replica had to begin in; its connection is closed by then.
+// Records a recall if the replica did not begin its output in time; the timeout has already closed its connection.
 auto RelayTry::note_recall() -> void {
     auto const now = clock_now();
     if (output_seen || now < begin_by) return;
@@ -33,7 +34,7 @@
             (now - answer.trace.sent_at) / one_millisecond));
 }
 
-// Before it is passed on: a client that reads slowly is not the replica's doing.
+// Called before the output is written to the client, so that a slow client does not count as latency of the replica.
 auto RelayTry::note_output() -> void {
     auto const now = clock_now();
     answer.trace.output_came(now);
@@ -47,8 +48,8 @@
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
     auto& parser = *exchange->parser;
     if (parser.is_done()) co_return boost::system::error_code();
-    if (clock_now() >= until + past_deadline) co_return beast::error::timeout;  // also while bytes keep coming
-    if (connection->buffer.size() == 0) co_await exchange->send_on(until);      // answered before it was sent whole
+    if (clock_now() >= until + past_deadline) co_return beast::error::timeout;  // even while bytes keep arriving
+    if (connection->buffer.size() == 0) co_await exchange->send_on(until);      // the replica may answer early
     connection->stream.expires_after(answer_patience());
     co_return co_await read_some(connection->stream, connection->buffer, parser);
 }
@@ -98,7 +99,7 @@
     auto const length = has_length(message.status) ? parser.content_length() : boost::none;
     facts.received = answer.head_sent ? Received::cut_after_output : Received::cut_before_output;
     if (!node.form->headers.stamp.empty() && message.fields.find(node.form->headers.stamp) == nullptr) {
-        reason = "no-stamp";  // no replica's answer counts without it
+        reason = "no-stamp";  // required on every successful response of a replica
         co_return;
     }
     if (!node.form->takes_content_codings && message.fields.find(content_encoding) != nullptr) {
--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -1,4 +1,4 @@
-// Reading a client's requests, and what becomes of those that cannot be read. docs/platform.md section 4.
+// Reads a client's requests and answers those that cannot be read. docs/platform.md section 4.
 #include "connection/lingering_close.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/relay_session.hpp"
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Microseconds longest_wait = 24 * 3'600 * one_second;  // timers take no configured time beyond
+constexpr Microseconds longest_wait = 24 * 3'600 * one_second;  // upper bound for configured timeouts
 constexpr auto first_read_bytes = std::size_t{4U << 10U};
 constexpr auto body_read_bytes = std::size_t{64U << 10U};
 
@@ -39,7 +39,7 @@
     client.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// A connection that rests holds no more than a small buffer; a stopping node lets go of it soon.
+// An idle connection holds only a small buffer; a stopping node closes it after 300 ms.
 auto RelaySession::await_request(RequestLimits const& limits) -> awaitable<bool> {
     buffer = beast::flat_buffer();
     client.expires_after(std::chrono::microseconds(
@@ -64,7 +64,7 @@
     co_return co_await read_whole(client, buffer, parser);
 }
 
-// A body is read through no more than it has left, and through what the head has needed where there is no room.
+// Enlarges the read buffer to the rest of the body, 64 KiB at most; without memory for that, the head's buffer is used.
 auto RelaySession::make_body_buffer(RequestParser& parser) -> void {
     auto const left = parser.content_length_remaining();
     auto const wanted =
@@ -72,7 +72,7 @@
     if (wanted > buffer.capacity() && parser.hold_buffer(wanted)) buffer.reserve(wanted);
 }
 
-// The answer to a request that was not read to its end, if there is anyone to take it.
+// Answers a request that could not be read completely, if the error leaves a client that can receive the answer.
 auto RelaySession::answer_unread(boost::system::error_code failure) -> awaitable<void> {
     auto bad = HttpRequest(http::verb::get, "/", 11);
     bad.keep_alive(false);
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -15,14 +15,14 @@
 
 constexpr auto not_fresh = "not-fresh";
 
-// The number of the last event that the client has; -1 where it names none.
+// The number of the last event that the client received; -1 if it gives none.
 auto event_number(std::string_view text) -> std::int64_t {
     auto number = std::int64_t{-1};
     auto const [end, failure] = std::from_chars(text.data(), text.data() + text.size(), number);
     return failure == std::errc() && end == text.data() + text.size() ? std::max<std::int64_t>(number, -1) : -1;
 }
 
-// Watches the client for as long as its request is under way.
+// Watches the client while its request is in progress.
 struct WatchScope {
     RelaySession& session;
     explicit WatchScope(RelaySession& watching) : session(watching) { session.begin_watch(); }
@@ -33,7 +33,7 @@
 }  // namespace
 
 auto RelaySession::write_all(std::string const& bytes) -> awaitable<bool> {
-    client.expires_after(std::chrono::seconds(10));  // a client that takes nothing is let go
+    client.expires_after(std::chrono::seconds(10));  // drops a client that stops reading
     auto const [failure, size] = co_await asio::async_write(client, asio::buffer(bytes), use_tuple);
     co_return !failure;
 }
@@ -56,7 +56,7 @@
     co_return co_await write_all(head) && keep;
 }
 
-// One snapshot gives the verdict and the sequence that goes with it; the proof is read first (design 8.2.2).
+// Takes verdict and sequence from the same snapshot; the time of the lease proof is read before it (design 8.2.2).
 auto RelaySession::judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement {
     auto const proven = node.proven_at.load();
     auto const current = node.snapshot.load();
@@ -71,7 +71,7 @@
         ++node.counters.refused;
         co_return co_await refuse(request, 503, "this node stops", soon);
     }
-    // A node that has just started waits a little for its first configuration.
+    // A node that has just started waits for its first configuration: at most 1.5 s, and only in its first 4 s.
     for (auto count = 0;
          count < 30 && node.snapshot.load()->rules->empty() && clock_now() - node.started_at < 4 * one_second; ++count)
         co_await pause(50 * one_millisecond);
@@ -115,7 +115,7 @@
 }
 
 auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
-    auto const rules = judgement.verdict.rules;  // keeps the route
+    auto const rules = judgement.verdict.rules;  // keeps the route alive
     auto const& route = *judgement.verdict.route;
     auto course = Course();
     course.ticket = judgement.verdict.verdict.ticket;
@@ -125,7 +125,7 @@
     auto usable = false;
     try {
         usable = co_await follow(request, std::move(judgement), course, answer);
-    } catch (...) {  // its connection ends; no place at a replica may stay taken
+    } catch (...) {  // the connection ends; its slot at the replica must be released
         node.table.abandon(course.ticket.number);
         node.release(course.placement.replica, course.ticket.number);
         throw;
@@ -135,7 +135,7 @@
     co_return usable;
 }
 
-// The course of one request: the same one that the product's own tickets take.
+// Drives the lifecycle of one relayed request; requests on the product's own API have the same one.
 auto RelaySession::follow(HttpRequest const& request, RelayJudgement judgement, Course& course, RelayAnswer& answer)
     -> awaitable<bool> {
     auto judged = std::move(judgement.verdict);
@@ -169,7 +169,8 @@
                 auto const result = co_await send_try(request, judged, course, answer);
                 answer.trace.failure = result.end == TryEnd::answered ? std::string() : result.reason;
                 node.try_ended(replica, course.ticket, result.end, result.reason, sent_at);
-                if (result.end != TryEnd::answered && answer.head_sent) answer.keep = false;  // visibly cut
+                if (result.end != TryEnd::answered && answer.head_sent)
+                    answer.keep = false;  // truncation stays visible
                 if (result.end != TryEnd::answered)
                     write_log(
                         Level::debug, "try-ended",
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A client's connection whose requests are relayed as they are. docs/platform.md
-// sections 4 and 5. All of it runs on the one thread of a relaying node.
+// A client connection whose requests are relayed unchanged. docs/platform.md sections 4 and 5. Everything runs on the
+// single thread of a relaying node.
 #include "base/memory_budget.hpp"
 #include "connection/http_message.hpp"
 #include "connection/message_parser.hpp"
@@ -12,33 +12,33 @@
 
 namespace dockrock {
 
-// How long a client waits before it comes again: seconds, as text.
+// Retry-After value of refusals, in seconds.
 inline constexpr auto soon = "0.3";
 
-// Told when the client goes away while its request is under way.
+// Detects that the client disconnects while its request is in progress.
 struct ClientWatch {
     bool active = true;
     bool gone = false;
     std::function<void()> on_gone;
-    std::optional<asio::steady_timer> later;  // the next look, while bytes of a next request wait
+    std::optional<asio::steady_timer> later;  // the next check, while bytes of a pipelined request are unread
 };
 
-// What of an answer has gone out; one request may need several runs for it.
+// What the client has received of its answer so far, possibly from several tries.
 struct RelayAnswer {
     bool head_sent = false;
     bool chunked = false;
-    bool keep = false;  // the client's connection can be used further
+    bool keep = false;  // the client's connection stays open afterwards
     EventReader events;
-    std::optional<MemoryShare> event_room;  // of an event that is not whole yet
+    std::optional<MemoryShare> event_room;  // memory of an incomplete event
     std::set<std::string> tried;            // replicas that this request was sent to
-    // A replica's own failure that may be passed on where no other try is left.
+    // A replica's error response, relayed if no further try is possible.
     std::string failure_head;
     std::optional<MemoryShare> failure_room;
     RequestTrace trace;
 };
 
-// What a request was judged by: a verdict holds for the rules of that sequence alone, and refuses only under a proof
-// that was young before those rules were looked at.
+// A verdict and the state it was derived from. It is valid only for the rules with this sequence, and may refuse a
+// request only if the lease proof, read before the rules, was fresh.
 struct RelayJudgement {
     RelayVerdict verdict;
     Sequence rules;
@@ -69,27 +69,28 @@
     auto begin_watch() -> void;
     auto watch_on(std::shared_ptr<ClientWatch> state) -> void;
     auto end_watch() -> void;
-    auto look_for_client() -> bool;  // whether it has left; asked right before a request is sent
+    auto look_for_client() -> bool;  // whether it has disconnected; checked right before a request is sent
     auto arrival_of(HttpRequest const& request, Microseconds now) const -> RelayArrival;
     auto write_all(std::string const& bytes) -> awaitable<bool>;
 };
 
-// The head of a try for its replica: what belongs to one connection, and what
-// the fleet sets itself, is never the client's. `time_left`: until the replica is to cease work.
+// The request head sent to the replica. Hop-by-hop fields and the fields that the router sets are never taken from the
+// client. `time_left`: time until the replica must stop working on the request.
 auto head_for_replica(
     RelayForm const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
     std::int64_t last_event, Microseconds time_left) -> std::string;
+// The response head sent to the client: without hop-by-hop fields, with the framing and persistence given here.
 auto head_for_client(ReceivedAnswer const& from, bool chunked, std::optional<std::uint64_t> length, bool keep)
     -> std::string;
-// A header's value; empty where it is not there, or has no name on this wire.
+// A header's value; empty if it is absent, or if the wire protocol has no name for it.
 auto field_of(HttpRequest const& request, std::string const& name) -> std::string_view;
-// Why a replica did not run a request, as it says by its status.
+// The reason why a replica did not run a request, derived from its status.
 auto refusal_reason(int status) -> std::string;
-// Whether an answer of this status to this request has no body.
+// Whether a response with this status to this request has no body.
 auto without_body(HttpRequest const& request, int status) -> bool;
 auto keeps_connection(HttpRequest const& request) -> bool;
 
-// Readiness and the operator's calls, on addresses of their own.
+// Readiness endpoint and operator API, each on its own address.
 auto serve_ready(Node& node, tcp::socket socket) -> awaitable<void>;
 auto serve_operator(Node& node, tcp::socket socket) -> awaitable<void>;
 
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -1,4 +1,4 @@
-// Sending a try, its answer's head, its end. docs/platform.md section 5.
+// Sends a try, reads the head of its response, and derives its result. docs/platform.md section 5.
 #include "connection/relay_try.hpp"
 
 #include "process/clock.hpp"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Microseconds connect_limit = 600 * one_millisecond;
-constexpr Microseconds forgotten_within = 10 * one_millisecond;  // a reset that fast follows no work
+constexpr Microseconds forgotten_within = 10 * one_millisecond;  // a reset this soon means that no work was begun
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     return made;
 }
 
-// A client that goes away ends the run.
+// Closes the replica connection when the client disconnects; that cancels the run.
 auto RelayTry::close_when_client_leaves() -> void {
     session.watch->on_gone = [this] {
         boost::system::error_code ignored;
@@ -33,14 +33,14 @@
     };
 }
 
-// A reset takes back what the replica has not read yet; a mere end comes after it.
+// A reset discards data that the replica has not read yet; after an orderly close it would still read that data.
 auto RelayTry::reset_on_close(bool wanted) -> void {
     boost::system::error_code ignored;
     connection->stream.socket().set_option(asio::socket_base::linger(wanted, 0), ignored);
 }
 
-// Where this request was sent to this replica before, a late answer to that
-// would pass for the answer to this try: only a new connection tells them apart.
+// Opens a new connection if this request was sent to this replica before: on a pooled one, a late response to the
+// earlier try could be taken for the response to this one.
 auto RelayTry::connect() -> awaitable<bool> {
     auto const& placement = course.placement;
     auto const first_there = answer.tried.insert(placement.replica).second;
@@ -80,7 +80,7 @@
 }
 
 auto RelayTry::give_back() -> void {
-    session.watch->on_gone = nullptr;  // from here on the connection may be another request's
+    session.watch->on_gone = nullptr;  // from here on another request may use the connection
     if (!exchange->reusable() || node.finished || client_left()) return;
     if (may_be_recalled()) reset_on_close(false);
     connection->idle_limit = told_idle_limit(exchange->parser->get()[http::field::keep_alive]);
@@ -96,7 +96,7 @@
     parser.limit_stored_body(ReplicaExchange::stored_body_bytes);
     parser.count_in(answer.failure_room.emplace(node.message_memory));
     auto const failure = co_await read_whole(connection->stream, connection->buffer, parser);
-    auto const not_run = says_not_run && !is_malformed(failure);  // one that is merely cut has said so in a whole head
+    auto const not_run = says_not_run && !is_malformed(failure);  // a truncated body leaves the complete head valid
     facts.received = not_run ? Received::not_run : Received::cut_before_output;
     reason = not_run ? refusal_reason(status) : "replica-broke";
     if (failure) co_return;
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -1,13 +1,12 @@
 #pragma once
-// One try of a relayed request: sent once, its answer passed on as it comes.
-// docs/platform.md section 5.
+// One try of a relayed request: sent once, its response streamed to the client. docs/platform.md section 5.
 #include "connection/relay_session.hpp"
 #include "connection/replica_exchange.hpp"
 
 namespace dockrock {
 
-// One try under way. Steps report what they saw into `facts`; the end and what
-// follows it are derived from them alone.
+// A try in progress. Its steps record what they observed in `facts`; the outcome and the retry decision are derived
+// from those facts alone.
 struct RelayTry {
     RelaySession& session;
     HttpRequest const& request;
@@ -19,8 +18,8 @@
     std::optional<ReplicaExchange> exchange = {};
     TryFacts facts = {};
     std::string reason = {};
-    Microseconds until = 0;                    // the request's own deadline
-    Microseconds begin_by = WorkLimits::none;  // the replica's first output is waited for no longer
+    Microseconds until = 0;                    // the request's deadline
+    Microseconds begin_by = WorkLimits::none;  // latest time for the replica's first output
     bool output_seen = false;
 
     auto connect() -> awaitable<bool>;
--- a/source/connection/relay_watch.cpp
+++ b/source/connection/relay_watch.cpp
@@ -1,4 +1,4 @@
-// Whether the client of a request under way is still there. docs/requests.md.
+// Detects that a client disconnects during its request. docs/requests.md.
 #include <poll.h>
 
 #include "connection/relay_session.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A client that has sent its next request early may still leave behind it.
+// Whether the peer has closed or reset the connection; detected even behind unread bytes of a pipelined request.
 auto has_left(tcp::socket& socket) -> bool {
     auto asked = pollfd{socket.native_handle(), POLLRDHUP, 0};
     return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// While a request is under way its client may go: the run is then ended.
+// Starts watching the client; if it disconnects, `on_gone` ends the run.
 auto RelaySession::begin_watch() -> void {
     watch = std::make_shared<ClientWatch>();
     watch->later.emplace(client.get_executor());
@@ -31,14 +31,14 @@
             if (state->on_gone) state->on_gone();
             return;
         }
-        state->later->expires_after(look_again);  // bytes wait: the next request, early
+        state->later->expires_after(look_again);  // unread bytes: a pipelined request
         state->later->async_wait([this, state](boost::system::error_code ended) {
             if (state->active && !ended) watch_on(state);
         });
     });
 }
 
-// A busy node may not have come to the client's end yet.
+// Checks the socket directly: a busy node may not have processed the disconnect event yet.
 auto RelaySession::look_for_client() -> bool {
     watch->gone = watch->gone || has_left(client.socket());
     return watch->gone;
--- a/source/connection/replica_exchange.cpp
+++ b/source/connection/replica_exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Bytes or an end wait to be read.
+// Whether unread bytes, an end of stream or an error are pending.
 auto readable(tcp::socket& socket) -> bool {
     auto byte = char{};
     auto const size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -64,14 +64,14 @@
             if (clock_now() >= until) co_return;
             co_await wait_to_write_or_read(socket, until);
         } else if (failure) {
-            write_failed = true;  // an early answer may still wait to be read
+            write_failed = true;  // an early response may still be readable
         }
     }
 }
 
 auto ReplicaExchange::read_one_head(Microseconds until) -> awaitable<boost::system::error_code> {
     parser.emplace();
-    parser->body_limit(boost::none);  // passed on as it comes
+    parser->body_limit(boost::none);  // the body is streamed, not stored
     parser->limit_head(header_bytes);
     if (request.head_only) parser->skip(true);
     connection.stream.expires_after(left_until(until));
@@ -95,7 +95,7 @@
             if (is_own()) co_return HeadEnd::own_answer;
             if (!co_await skip_stranger()) co_return HeadEnd::broke;
         }
-        if (clock_now() >= until) co_return HeadEnd::timed_out;  // also while more keeps coming
+        if (clock_now() >= until) co_return HeadEnd::timed_out;  // even while more input arrives
     }
 }
 
--- a/source/connection/replica_exchange.hpp
+++ b/source/connection/replica_exchange.hpp
@@ -1,45 +1,46 @@
 #pragma once
-// One request on one connection to a replica: its bytes go out while no answer
-// waits, and its own answer is told from answers to other requests. It reports
-// facts and decides nothing (ticket/retry_decision.hpp). docs/requests.md.
+// One request on one connection to a replica: sends its bytes until a response can be read, and separates its own
+// response from responses to other requests. It reports facts; the decisions are made in ticket/retry_decision.hpp.
+// docs/requests.md.
 #include "connection/message_reader.hpp"
 #include "connection/replica_pool.hpp"
 #include "ticket/retry_decision.hpp"
 
 namespace dockrock {
 
-// What one request puts on the wire.
+// The bytes that one request sends, and how its response is recognized.
 struct ExchangeRequest {
     std::string head;
     std::string_view body;
-    std::string_view identity_field;  // the header by which answers are told apart
+    std::string_view identity_field;  // the header that matches a response to its request
     std::string_view identity;
-    bool head_only = false;  // its answer has no body, whatever its length says
+    bool head_only = false;  // HEAD request: the response has no body, whatever its Content-Length
 };
 
 struct ReplicaExchange {
-    // What came last: `no_answer` is what breaks off the grammar, `broke` an end or a reset of the connection.
+    // Result of reading the head: `no_answer` is malformed input, `broke` a closed or reset connection.
     enum class HeadEnd : int { own_answer, timed_out, no_answer, broke };
     static constexpr auto header_bytes = std::uint32_t{64U << 10U};
-    // Bodies that are read whole: of failures, which are kept for the client, and of answers to other requests.
+    // Limit for bodies that are read completely: of failures, stored for the client, and of responses to other
+    // requests.
     static constexpr auto stored_body_bytes = std::size_t{1U << 20U};
 
     ReplicaConnection& connection;
     ExchangeRequest request;
     std::size_t written = 0;
     bool write_failed = false;
-    std::uint64_t strangers = 0;  // answers to other requests, read and dropped
+    std::uint64_t strangers = 0;  // responses to other requests, read and discarded
     std::optional<AnswerParser> parser;
 
     ReplicaExchange(ReplicaConnection& given, ExchangeRequest asked) : connection(given), request(std::move(asked)) {}
-    // Sends until all is out, something can be read, or `until` has passed.
+    // Sends until all bytes are written, input is available, or `until` has passed.
     auto send_on(Microseconds until) -> awaitable<void>;
-    // The head of this request's own answer; the parser holds it.
+    // Reads up to the head of the response to this request; `parser` then holds it.
     auto read_own_head(Microseconds until) -> awaitable<HeadEnd>;
     auto whole_size() const -> std::size_t { return request.head.size() + request.body.size(); }
     auto bytes_written() const -> BytesWritten;
-    // The answer is whole and framed, and the request went out whole: what comes
-    // next on this connection belongs to the next request.
+    // Whether the connection can be reused: the request was sent completely, and its response is complete and has
+    // explicit framing.
     auto reusable() const -> bool;
 
    private:
--- a/source/connection/replica_pool.hpp
+++ b/source/connection/replica_pool.hpp
@@ -1,7 +1,6 @@
 #pragma once
-// Connections to replicas, kept and used again: by the replica's life, checked
-// before use, given up when their time or their replica ends. docs/platform.md
-// section 5. Touched on the one thread of a relaying node.
+// Pool of idle connections to replicas, per replica instance: checked before reuse, closed when their idle limit
+// passes or the replica is gone. docs/platform.md section 5. Used only on the single thread of a relaying node.
 #include <memory>
 #include <set>
 #include <unordered_map>
@@ -16,7 +15,7 @@
     beast::flat_buffer buffer;
     Microseconds idle_since = 0;
     Microseconds idle_limit = 0;
-    Microseconds rested = 0;  // how long it was idle before it was taken
+    Microseconds rested = 0;  // idle time before it was taken from the pool
     explicit ReplicaConnection(asio::any_io_executor executor) : stream(std::move(executor)) {}
 };
 using ReplicaConnectionPointer = std::unique_ptr<ReplicaConnection>;
@@ -25,30 +24,32 @@
     static constexpr Microseconds longest_rest = 600 * one_second;
     static constexpr Microseconds least_rest = 40 * one_millisecond;
     static constexpr Microseconds rest_memory = 20 * one_second;
-    static constexpr auto most_idle = std::size_t{64};  // of one replica
+    static constexpr auto most_idle = std::size_t{64};  // per replica
     std::unordered_map<std::string, std::vector<ReplicaConnectionPointer>> idle;
     std::uint64_t opened = 0;
     std::uint64_t reused = 0;
-    std::uint64_t dropped = 0;               // found closed, or with bytes that belong to no request
-    Microseconds rest_limit = longest_rest;  // learned; back to the longest at `rest_limit_ends`
+    std::uint64_t dropped = 0;               // expired, closed by the peer, or with unsolicited bytes
+    Microseconds rest_limit = longest_rest;  // learned; reset to the maximum at `rest_limit_ends`
     Microseconds rest_limit_ends = 0;
 
-    // An idle connection that is still good; none: open one.
+    // A usable idle connection; nullptr if there is none.
     auto take(std::string const& replica, Microseconds now) -> ReplicaConnectionPointer;
     auto give_back(std::string const& replica, ReplicaConnectionPointer connection, Microseconds now) -> void;
-    // A connection that had rested so long was reset as soon as it was used again: its replica
-    // had forgotten it without notice. Others are not left to rest that long for a while.
+    // Records that a connection was reset at its first reuse after this idle time: the replica side had dropped it
+    // without closing it. For the next 20 s, connections idle for more than half of that time are not reused.
     auto forgotten(Microseconds rested, Microseconds now) -> void;
-    // Those of replicas that are gone, and those whose time is over.
+    // Closes expired connections, and those to replicas that are not in `replicas`.
     auto sweep(std::set<std::string> const& replicas, Microseconds now) -> void;
 };
 
-// How long the other end keeps an idle connection, as the value of its `Keep-Alive` says, less a margin.
+// How long the peer keeps an idle connection, from its `Keep-Alive` header, less one second or half of that time,
+// whichever is shorter; 4 s if the header gives no timeout.
 auto told_idle_limit(std::string_view keep_alive) -> Microseconds;
 
-// A new connection; nothing where it can't be had in time. A peer that says
-// nothing any more is noticed by probes of the system's own.
+// Opens a connection with keepalive probes; nullptr if that fails or takes longer than `limit`.
 auto connect_to(std::string address, Microseconds limit) -> awaitable<ReplicaConnectionPointer>;
+// Disables Nagle's algorithm and enables TCP keepalive probes and a user timeout, so that the system detects an
+// unresponsive peer within about 4 s.
 auto probe_silence(tcp::socket& socket) -> void;
 
 }  // namespace dockrock
--- a/source/connection/request_trace.hpp
+++ b/source/connection/request_trace.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The moments of one relayed request, and the log line that tells them with what the scheduler expected.
+// Timestamps of one relayed request, and the log line that reports them with the scheduler's estimates.
 // `scripts/request_causes.py` reads these lines. docs/operators.md.
 #include <string>
 
@@ -9,19 +9,19 @@
 namespace dockrock {
 
 struct RequestTrace {
-    Microseconds waited = 0;         // at this node, for a place at a replica, all tries together
-    Microseconds sent_at = 0;        // of the newest try; 0: none was sent
-    Microseconds first_at = 0;       // the first output of any try; 0: none came
-    Microseconds last_at = 0;        // the newest output
-    Microseconds longest_pause = 0;  // between outputs
+    Microseconds waited = 0;         // total time queued at this node, over all tries
+    Microseconds sent_at = 0;        // of the latest try; 0: none was sent
+    Microseconds first_at = 0;       // first output of any try; 0: none arrived
+    Microseconds last_at = 0;        // latest output
+    Microseconds longest_pause = 0;  // between consecutive outputs
     int tries = 0;
-    std::string failure;  // why the newest try failed; empty: it did not
-    std::string outcome;  // what the client was told
+    std::string failure;  // why the latest try failed; empty: it did not
+    std::string outcome;  // last lifecycle step and reason, or caller-gone
 
     auto output_came(Microseconds now) -> void;
 };
 
-// At level debug; costs nothing above it.
+// Logs at level debug; returns at once if that level is disabled.
 auto log_request(Course const& course, Route const& route, RequestTrace const& trace, Microseconds now) -> void;
 
 }  // namespace dockrock
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -43,7 +43,7 @@
 auto Session::serve() -> awaitable<void> {
     probe_silence(socket);
     while (!node.finished) {
-        if (buffer.size() == 0) {  // idle between tickets; a resting or stopping node lets go sooner
+        if (buffer.size() == 0) {  // idle between requests; a resting or stopping node closes it sooner
             auto const quick = node.stopping || node.resting_now;
             auto const idle = co_await (
                 socket.async_wait(tcp::socket::wait_read, use_tuple) ||
@@ -125,7 +125,7 @@
     co_return co_await answer(request, 502, fields("outcome", "unknown", "reason", reason));
 }
 
-// The rules are run as a oneTBB task against the snapshot of this moment.
+// Runs the interpreter in a oneTBB task, on the snapshot that is current when the task starts.
 auto Session::interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>> {
     auto arrival = Arrival{
         std::string(request.method_string()),
@@ -153,7 +153,7 @@
 
 auto Session::handle_ticket(HttpRequest const& request) -> awaitable<bool> {
     ++node.counters.tickets;
-    // A node that has just started waits a little for its first configuration.
+    // A node that has just started waits for its first configuration: at most 1.5 s, and only in its first 4 s.
     for (auto count = 0;
          count < 30 && node.snapshot.load()->rules->mappings.empty() && clock_now() - node.started_at < 4 * one_second;
          ++count)
@@ -195,7 +195,7 @@
         auto facts = TryFacts();
         if (result.end == CallEnd::no_answer) facts.written = BytesWritten::whole;
         auto limits = RetryLimits();
-        limits.tries_left = 0;  // one application, asked once
+        limits.tries_left = 0;  // there is one application; it is called once
         if (retry::decide(retry::end_of(facts), RetryRequest{}, limits) == RetryDecision::refused)
             co_return co_await shed(request, "application-unreachable", 1);
         co_return co_await unknown(request, "application-broke");
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One client connection and the tickets on it. docs/design.md sections 9.1, 10.
+// One client connection and its inference requests. docs/design.md sections 9.1, 10.
 #include "connection/http_message.hpp"
 #include "process/node.hpp"
 #include "ticket/course.hpp"
@@ -17,10 +17,10 @@
     Node& node;
     tcp::socket socket;
     beast::flat_buffer buffer;
-    std::uint64_t ticket_number = 0;  // told to the caller with every answer, for the logs
+    std::uint64_t ticket_number = 0;  // sent in every response, for correlation with the logs
 
     auto serve() -> awaitable<void>;
-    // Whether the connection can be used further.
+    // Sends a response. The handlers below return whether the connection can be used further, as this does.
     auto answer(HttpRequest const& request, int status, json::object body, Headers headers = Headers())
         -> awaitable<bool>;
     auto answer_text(
@@ -34,7 +34,7 @@
     auto shed(HttpRequest const& request, std::string reason, std::int64_t retry_after) -> awaitable<bool>;
     auto unknown(HttpRequest const& request, std::string reason) -> awaitable<bool>;
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
-    // Waits for a placement or a shedding; neither: the caller went away.
+    // Waits until the scheduler has placed or shed the request; false if the caller disconnected first.
     auto wait_for_slot(std::shared_ptr<Slot> slot) -> awaitable<bool>;
     auto enter_buffer(Course& course) -> awaitable<CourseStep>;
     auto claim(Course& course) -> awaitable<CourseStep>;
@@ -45,11 +45,11 @@
 struct TryResult {
     TryEnd end = TryEnd::unknown_before;
     std::string reason;
-    bool usable = false;     // the caller's connection
-    bool held_back = false;  // by the last checks once more: no try was made
+    bool usable = false;     // the caller's connection can be used further
+    bool held_back = false;  // stopped by the final checks before sending: no try was made
 };
 
-// Sends one try to its replica and relays the pieces (design 10).
+// Sends one try to its replica and streams the response pieces to the caller (design 10).
 auto run_try(Session& session, Course const& course, bool keep_alive) -> awaitable<TryResult>;
 
 }  // namespace dockrock
--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -1,4 +1,4 @@
-// One try: sent once, its pieces relayed in order. docs/design.md section 10.
+// One try: sent once, its response pieces relayed in order. docs/design.md section 10.
 #include <charconv>
 
 #include "connection/message_reader.hpp"
@@ -80,8 +80,8 @@
     }
     auto const posted = http_ask(http::verb::post, "/run", run_body(ticket, placement));
     auto const request = make_request(posted, placement.address);
-    // From here on the replica may have it: whatever breaks is not known to
-    // have run or not (design 10.2).
+    // From here on the replica may have received the request: after a failure it is unknown whether it ran
+    // (design 10.2).
     auto const patience = std::max<Microseconds>(ticket.deadline - clock_now(), one_second) + 2 * one_second;
     stream.expires_after(std::chrono::microseconds(patience));
     auto const [unsent, written] = co_await http::async_write(stream, request, use_tuple);
@@ -89,7 +89,7 @@
     if (unsent) co_return ended(facts, "replica-broke-while-sending");
     auto buffer = beast::flat_buffer();
     auto last_head = std::optional<AnswerParser>();
-    auto const no_limit = boost::none;  // passed on as it comes
+    auto const no_limit = boost::none;  // the body is streamed, not stored
     if (auto const failure = co_await read_final_head(stream, buffer, last_head, no_limit); failure)
         co_return ended(facts, "replica-broke-before-first-piece");
     auto& parser = *last_head;
@@ -129,7 +129,7 @@
     while (!reader.done && !reader.wrong) {
         if (parser.is_done()) break;
         auto const failure = co_await read_some(stream, buffer, parser);
-        // An answer under way is cut by silence alone, never by its deadline.
+        // An answer in progress is cut off only by 10 s of silence, never by its deadline.
         stream.expires_after(std::chrono::seconds(10));
         auto const whole = reader.take(parser.get().body);
         parser.get().body.clear();
@@ -154,8 +154,7 @@
                 head_sent = true;
                 facts.received = Received::cut_after_output;
             }
-            // A caller that takes nothing for ten seconds is let go; closing
-            // the replica's connection cancels the run.
+            // A caller that reads nothing for ten seconds is dropped; closing the replica's connection cancels the run.
             auto const written = co_await (
                 asio::async_write(session.socket, http::make_chunk(asio::buffer(whole)), use_tuple) ||
                 wait_until(10 * one_second));
@@ -172,7 +171,7 @@
         co_return ended(facts, "", !failure && stay);
     }
     if (!head_sent) co_return ended(facts, "replica-broke-before-first-piece");
-    // Visibly incomplete: a final error piece and no last chunk (design 10.3).
+    // Mark the answer as incomplete: a final error piece and no last chunk (design 10.3).
     auto const note =
         json::serialize(fields("error", "the answer broke", "outcome", "unknown", "pieces_sent", reader.next)) + "\n";
     co_await asio::async_write(session.socket, http::make_chunk(asio::buffer(note)), use_tuple);
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -1,4 +1,4 @@
-// A ticket's way through its connection: entry, waiting, tries, one outcome.
+// The lifecycle of an inference request on its connection: admission, queueing, tries, one outcome.
 // docs/design.md sections 9 and 10.
 #include "connection/session.hpp"
 #include "process/clock.hpp"
@@ -24,13 +24,13 @@
         socket.non_blocking(true, failure);
         auto const size = socket.receive(asio::buffer(&peeked, 1), tcp::socket::message_peek, failure);
         if (failure == asio::error::would_block) continue;
-        if (failure || size == 0) co_return false;    // the caller went away
-        co_await slot->signal.async_wait(use_tuple);  // more sent early: read after this ticket
+        if (failure || size == 0) co_return false;    // the caller disconnected
+        co_await slot->signal.async_wait(use_tuple);  // a pipelined request: read after this one
     }
     co_return true;
 }
 
-// Into the buffer, and out of it with a placement or a shedding.
+// Queues the request until it is placed or shed.
 auto Session::enter_buffer(Course& course) -> awaitable<CourseStep> {
     auto const number = course.ticket.number;
     auto const executor = co_await asio::this_coro::executor;
@@ -101,7 +101,7 @@
     if (node.resting_now) node.wake();
     try {
         co_return co_await follow(request, course);
-    } catch (...) {  // its connection ends; no place at a replica may stay taken
+    } catch (...) {  // the connection ends; its slot at the replica must be released
         node.table.abandon(course.ticket.number);
         node.release(course.placement.replica, course.ticket.number);
         throw;
@@ -127,7 +127,7 @@
             }
             case Step::send: step = co_await send_try(request, course, usable); break;
             case Step::answer_shed: co_return co_await shed(request, step.reason, step.retry_after);
-            case Step::answer_failure:  // of relayed requests alone
+            case Step::answer_failure:  // occurs only for relayed requests
             case Step::answer_unknown: co_return co_await unknown(request, step.reason);
             case Step::answer_refused:
                 if (!node.refusal_leaves(step.status)) co_return co_await shed(request, "not-fresh", 1);
