--- a/programs/dockrock_control.cpp
+++ b/programs/dockrock_control.cpp
@@ -1,4 +1,4 @@
-// dockrock-control: the operator's command line. docs/interfaces.md.
+// dockrock-control: command-line client for operators. docs/interfaces.md.
 #include <tclap/CmdLine.h>
 
 #include <fstream>
@@ -19,7 +19,7 @@
     return std::string(std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>());
 }
 
-// Takes one key out of every branch that sets it.
+// Removes a key from all "keys" lists in the tree; returns how many entries were removed.
 auto remove_key(json::value& branch, std::string const& identity) -> int {
     auto removed = 0;
     if (branch.is_array()) {
@@ -71,7 +71,7 @@
 }
 
 auto revoke(Client const& client, std::string const& identity) -> int {
-    for (auto count = 0; count < 10; ++count) {  // conditional, so that no racing change is undone
+    for (auto count = 0; count < 10; ++count) {  // conditional update: must not overwrite a concurrent change
         auto const current = client.ask(http_ask(http::verb::get, "/control/configuration"));
         auto tree = current.status == 200 ? parse_json(current.body) : std::nullopt;
         if (!tree) return print(current);
--- a/programs/dockrock_node.cpp
+++ b/programs/dockrock_node.cpp
@@ -1,4 +1,4 @@
-// dockrock-node: the one daemon, edge or core by its settings. docs/design.md section 1.
+// dockrock-node: the router daemon, an edge or a core node depending on its settings. docs/design.md section 1.
 #include <tclap/CmdLine.h>
 
 #include "process/run_node.hpp"
@@ -23,8 +23,7 @@
         command);
     auto http_address = TCLAP::ValueArg<std::string>(
         "", "http-address", "IP:port for callers and operators", false, "", "IP:PORT", command);
-    auto area =
-        TCLAP::ValueArg<std::string>("", "area", "the area (zone) this machine stands in", false, "", "NAME", command);
+    auto area = TCLAP::ValueArg<std::string>("", "area", "the area (zone) of this machine", false, "", "NAME", command);
     auto seed = TCLAP::MultiArg<std::string>(
         "", "seed", "control address of another node; give three", false, "IP:PORT", command);
     auto folder = TCLAP::ValueArg<std::string>(
@@ -40,14 +39,15 @@
     auto log_level = TCLAP::ValueArg<std::string>(
         "", "log-level", "debug, information, warning or failure", false, "", "LEVEL", command);
     auto stop_limit = TCLAP::ValueArg<int>(
-        "", "stop-limit", "milliseconds a polite stop waits for answers under way", false, -1, "MILLISECONDS", command);
+        "", "stop-limit", "milliseconds a graceful stop waits for answers in progress", false, -1, "MILLISECONDS",
+        command);
     auto memory = TCLAP::ValueArg<int>(
-        "", "memory-limit", "resident memory that the node may take", false, 0, "MEGABYTES", command);
-    auto descriptors =
-        TCLAP::ValueArg<int>("", "descriptor-limit", "descriptors that the node may open", false, 0, "COUNT", command);
-    auto no_resting = TCLAP::SwitchArg("", "no-resting", "this node is never rested", command);
+        "", "memory-limit", "resident memory that the node may use", false, 0, "MEGABYTES", command);
+    auto descriptors = TCLAP::ValueArg<int>(
+        "", "descriptor-limit", "file descriptors that the node may open", false, 0, "COUNT", command);
+    auto no_resting = TCLAP::SwitchArg("", "no-resting", "never put this node to rest", command);
     auto scheduling = TCLAP::MultiArg<std::string>(
-        "", "scheduling", "an option of the scheduler; may be given again", false, "NAME=VALUE", command);
+        "", "scheduling", "a scheduler option; may be repeated", false, "NAME=VALUE", command);
     command.parse(argument_count, arguments);
     program.check_only = check.getValue();
     program.settings_file = file.getValue();
--- a/programs/dockrock_plan.cpp
+++ b/programs/dockrock_plan.cpp
@@ -1,4 +1,4 @@
-// dockrock-plan: shows what a change would move, and changes nothing.
+// dockrock-plan: dry run that shows what a configuration change would affect.
 #include <tclap/CmdLine.h>
 
 #include <fstream>
@@ -45,12 +45,13 @@
 
 auto main(int argument_count, char** arguments) -> int {
     auto command = TCLAP::CmdLine(
-        "dockrock-plan: shows which models, mappings, tenants, keys, walls, partitions and pairs a change would move. "
-        "It "
-        "changes nothing.\nExit: 0 shown, 1 could not be read, 2 the proposed tree has errors.",
+        "dockrock-plan: shows which models, mappings, tenants, keys, walls, partitions and pairs a change would "
+        "affect. "
+        "It changes nothing.\nExit: 0 shown, 1 could not be read, 2 the proposed tree has errors.",
         ' ', "0.1.0");
     auto node = TCLAP::ValueArg<std::string>(
-        "n", "node", "a node's HTTP address, asked for the tree in force and the pairs", false, "", "IP:PORT", command);
+        "n", "node", "HTTP address of a node to read the current tree and the pairs from", false, "", "IP:PORT",
+        command);
     auto current = TCLAP::ValueArg<std::string>(
         "", "current", "the current tree from a file, instead of a node", false, "", "FILE", command);
     auto key = TCLAP::ValueArg<std::string>("", "key-file", "file with the operator's key", false, "", "FILE", command);
