--- a/scripts/check_files.py
+++ b/scripts/check_files.py
@@ -1,4 +1,4 @@
-"""House rules that a machine can check: file lengths, inheritance, sleeping tests."""
+"""Checks the coding rules: file and line lengths, no inheritance, no sleeps in tests, formatting."""
 import pathlib
 import re
 import shutil
@@ -7,9 +7,9 @@
 
 root = pathlib.Path(__file__).resolve().parent.parent
 folders = ("source", "programs", "platform", "tests", "scripts")
-# Processes of their own, which keep real time.
+# Separate processes that run in real time and so may sleep.
 real_time = (root / "tests" / "stand_ins", root / "tests" / "platform" / "live")
-# The HTTP library is extended by deriving from its parser, and in no other way: one line, in one file.
+# Beast's HTTP parser can be extended only by inheritance: allowed on one line of one file.
 DERIVED_FROM_LIBRARY = {"source/connection/message_parser.hpp": "public http::basic_parser<"}
 derived = dict(DERIVED_FROM_LIBRARY)
 bad = []
--- a/scripts/check_includes.py
+++ b/scripts/check_includes.py
@@ -1,8 +1,8 @@
-"""No include runs up: a source folder uses only its own files and those of the floors below.
+"""Checks the layering of includes: a source folder includes only its own files and those of lower layers.
 
-FLOORS names the folders from the ground. Those of one floor stand side by side and do not use each other; folders
-joined in one group do, until they are moved to the folder that they will be. WAITING lists the single includes that
-still run up: a new one fails the check, and so does a listed one that is gone. docs/design.md section 2.
+FLOORS lists the layers from the lowest up. The groups of one layer must not include each other; the folders within a
+group may, until they are merged into one folder. WAITING lists the known violations: any other one fails the check,
+and so does a listed one that no longer exists. docs/design.md section 2.
 Use: check_includes.py [ROOT]
 """
 
@@ -28,7 +28,7 @@
 
 
 def floor_of(path, floors):
-    """The floor's number and the group on it that holds a path; nothing for files outside."""
+    """The number of the layer that contains a path, and its group; None for files outside of all layers."""
     for number, groups in enumerate(floors):
         for group in groups:
             if any(path.startswith(folder + "/") for folder in group):
@@ -37,7 +37,7 @@
 
 
 def resolved(root, includer, named):
-    """The included file, as the build finds it: beside the includer, under source/, or at the root."""
+    """The included file, searched as the build does: next to the includer, in source/, in the root."""
     for base in (root / includer.parent, root / "source", root):
         if (base / named).is_file():
             return (base / named).resolve().relative_to(root.resolve()).as_posix()
@@ -45,18 +45,18 @@
 
 
 def includes(root):
-    """All includes of the project's own files, as pairs of paths."""
+    """Yields all includes of the project's own files: includer, path as written, resolved path or None."""
     for folder in ("source", "platform", "programs"):
         for path in sorted((root / folder).rglob("*.[ch]pp")):
             includer = path.relative_to(root)
-            if includer.name.startswith("precompiled_"):  # for the build alone: nothing includes them
+            if includer.name.startswith("precompiled_"):  # used only by the build; no source includes them
                 continue
             for named in INCLUDE.findall(path.read_text()):
                 yield includer, named, resolved(root, includer, named)
 
 
 def judge(root, floors=FLOORS, waiting=frozenset(WAITING)):
-    """What is wrong, each with its place; second, how many includes were looked at."""
+    """The violations found, and the number of includes checked."""
     bad, met, count = [], set(), 0
     for includer, named, included in includes(root):
         count += 1
@@ -66,15 +66,15 @@
         below, above = floor_of(included, floors), floor_of(includer.as_posix(), floors)
         if below is None or above is None:
             stranger = included if below is None else includer
-            bad.append("%s stands on no floor" % stranger)
+            bad.append("%s is in no layer" % stranger)
             continue
         if below[1] == above[1] or below[0] < above[0]:
             continue
         pair = (includer.as_posix(), included)
         met.add(pair)
         if pair not in waiting:
-            bad.append("%s includes %s: up, or to its side" % pair)
-    bad += ["%s no longer includes %s: take it off the list" % pair for pair in sorted(waiting - met)]
+            bad.append("%s includes %s: a higher layer, or a sibling group" % pair)
+    bad += ["%s no longer includes %s: remove it from the list" % pair for pair in sorted(waiting - met)]
     return sorted(set(bad)), count
 
 
@@ -82,8 +82,8 @@
     bad, count = judge(root)
     for item in bad:
         print(item)
-    waiting = ", %d waiting" % len(WAITING) if WAITING else ""
-    print("includes: %s (%d looked at%s)" % ("none runs up" if not bad else "%d wrong" % len(bad), count, waiting))
+    waiting = ", %d known violations" % len(WAITING) if WAITING else ""
+    print("includes: %s (%d checked%s)" % ("layering kept" if not bad else "%d wrong" % len(bad), count, waiting))
     return 1 if bad else 0
 
 
--- a/scripts/check_packages.py
+++ b/scripts/check_packages.py
@@ -1,8 +1,8 @@
-"""Does a machine with only the packages of deploy/system.toml, and what they depend on, build the product?
+"""Checks that the packages of deploy/system.toml, with their dependencies, are sufficient to build the product.
 
-Compared with the files of those packages: each tool that the build command names or takes by itself, each system
-file that configuring the product reads or links (from a fresh configuration, in seconds), and each system header
-that the product's objects read (from the dependencies that an earlier build left; nothing is compiled here).
+Compared with the files of those packages are: each tool that the build command runs, each system file that CMake
+reads or links when it configures the product (a fresh configuration takes seconds), and each system header that the
+product's objects include (from the dependencies recorded by an earlier build; nothing is compiled here).
 Use: check_packages.py BUILD-FOLDER
 """
 
@@ -24,12 +24,12 @@
 
 
 def steps(build):
-    """The commands of a build line, each as its words."""
+    """The commands of a build line, each split into words."""
     return [shlex.split(part) for part in re.split(r"&&|\|\||;|\|", build) if part.strip()]
 
 
 def tools(build):
-    """The programs that the build line starts, the generator's among them."""
+    """The programs that the build line starts, including the generator's."""
     wanted = set()
     for words in steps(build):
         wanted.add(words[0])
@@ -41,36 +41,36 @@
 
 
 def is_system(path):
-    """Whether a path is the machine's, not the project's or the build's."""
+    """Whether a path belongs to the system rather than to the project or its build."""
     return path.startswith(("/usr/", "/lib", "/etc/", "/opt/", "/bin/")) and not path.startswith(str(ROOT))
 
 
 def configured(build):
-    """The build plan of the product alone, freshly configured as the build line does, for Ninja."""
+    """The Ninja files of a fresh configuration with the options of the build line."""
     words = next(words for words in steps(build) if words[0] == "cmake" and "--build" not in words)
-    # The units are the same ones, each compiled by itself: so they are in an earlier build's dependencies.
+    # Without unity builds: the same sources are compiled one by one, as in the build whose dependencies are read.
     kept = [word for word in words[1:] if word.startswith("-D") and not word.startswith("-DCMAKE_UNITY_BUILD")]
     with tempfile.TemporaryDirectory() as folder:
         command = ["cmake", "-S", str(ROOT), "-B", folder, "-G", "Ninja"] + kept
         subprocess.run(command, check=True, capture_output=True, text=True)
-        files = ("build.ninja", "CMakeFiles/rules.ninja")  # what is read and made, and with which programs
+        files = ("build.ninja", "CMakeFiles/rules.ninja")  # inputs and outputs; the programs that are run
         return "\n".join(pathlib.Path(folder, name).read_text() for name in files)
 
 
 def plan_files(plan):
-    """The system files that configuring reads, that the link lines name, and the compiler's and linker's programs."""
+    """The system files read by the configuration, those on the link lines, and the compiler and linker programs."""
     named = set(re.findall(r"(?<![\w./-])(/[\w./+-]+)", plan))
-    named.discard("/usr/bin/ninja")  # this check's own; the generator of the build line is among its tools
+    named.discard("/usr/bin/ninja")  # used by this check; `tools` has the generator of the build line
     return {path for path in named if is_system(path) and os.path.isfile(path)}
 
 
 def plan_objects(plan):
-    """What the compiler makes: object files and prepared headers."""
+    """The compiler's outputs: object files and precompiled headers."""
     return set(re.findall(r"^build (\S+\.(?:o|gch)):", plan, re.MULTILINE))
 
 
 def object_headers(dependencies, objects):
-    """The system headers of these objects in what `ninja -t deps` prints; second, the objects it does not know."""
+    """The system headers of these objects, from the output of `ninja -t deps`, and the objects missing there."""
     headers, met, ours = set(), set(), False
     for line in dependencies.splitlines():
         if line and not line.startswith(" "):
@@ -83,7 +83,7 @@
 
 
 def gaps(database, listed, wanted):
-    """What of the wanted files the listed packages do not bring, each with the package that would."""
+    """Messages on the wanted files that the listed packages do not contain, with the package that owns each."""
     found, absent = database.closure(listed)
     present = set()
     for name in found:
@@ -91,28 +91,28 @@
     missing = {system_packages.usual(path) for path in wanted} - present
     owner = database.owners(missing)
     linked = {path for path in missing if path not in owner and os.path.realpath(path) in present}
-    told = ["the package %s is not installed here: nothing can be said of it" % name for name in absent]
+    told = ["the package %s is not installed here and cannot be checked" % name for name in absent]
     for path in sorted(missing - linked):
         told.append("%s is in no listed package; it belongs to %s" % (path, owner.get(path, "no package")))
     return told
 
 
 def read_dependencies(folder):
-    """What each object of the build in this folder read when it was compiled."""
+    """The recorded dependencies of each object of the build in this folder."""
     command = ["ninja", "-C", str(folder), "-t", "deps"]
     return subprocess.run(command, capture_output=True, text=True, check=True).stdout
 
 
 def list_faults(listed, more, printed):
-    """The one list: nothing named twice, and the shell's reading is the same as the file's."""
-    told = ["%s stands in .ci/packages and in deploy/system.toml" % name for name in sorted(set(listed) & set(more))]
+    """Checks the package lists: no duplicates, and scripts/packages.sh prints what the files contain."""
+    told = ["%s is in both .ci/packages and deploy/system.toml" % name for name in sorted(set(listed) & set(more))]
     if printed != listed + more:
-        told.append("scripts/packages.sh prints another list than the files hold")
+        told.append("scripts/packages.sh prints a different list than the files contain")
     return told
 
 
 def judge(deploy, dependencies, database):
-    """All that is wrong, and a line of what was looked at."""
+    """All problems found, and a summary of what was checked."""
     listed, build = deploy["packages"], deploy["build"]
     plan, named = configured(build), tools(build)
     headers, unknown = object_headers(dependencies, plan_objects(plan))
--- a/scripts/compare_runs.py
+++ b/scripts/compare_runs.py
@@ -1,9 +1,9 @@
 """Compares measured days before and after a change, in pairs of the same site, day and seed.
 
-Reads entries of the journal. A pair is a day that both sides played with the same seed; days that only one side has are
-counted and left out. For each site and for all together: pairs, how many are better, the median of the differences,
-the least and the greatest, and a verdict: better or worse where there are three pairs or more, the median is beyond the
-noise of one play and no fewer than three pairs in four agree with it; else noise, or too few pairs.
+Reads journal entries. A pair is a day that was run on both sides with the same seed; days on only one side are counted
+and left out. Prints for each site and in total: the number of pairs, how many are better, the median, minimum and
+maximum of the differences, and a verdict. It is "better" or "worse" with at least three pairs, a median beyond the
+noise of a single run, and at least three of four pairs agreeing with it; otherwise "noise" or "too few pairs".
 Use: compare_runs.py --before ENTRY ... --after ENTRY ... [--noise 0.03]
 """
 
@@ -18,7 +18,7 @@
 
 
 class UnreadableEntry(Exception):
-    """An entry that can't be used, with its reason."""
+    """Raised, with the reason, for an entry that cannot be used."""
 
 
 def read_days(path):
@@ -31,7 +31,7 @@
     except ValueError as problem:
         raise UnreadableEntry("%s is cut or damaged: %s" % (path, problem)) from problem
     if not isinstance(entry, dict) or not isinstance(entry.get("days"), list):
-        raise UnreadableEntry("%s tells of no days" % path)
+        raise UnreadableEntry("%s has no list of days" % path)
     found = {}
     for day in entry["days"]:
         try:
@@ -39,13 +39,13 @@
             score = day["score"]
         except (KeyError, TypeError) as problem:
             raise UnreadableEntry("%s: a day without %s" % (path, problem)) from problem
-        if key[2] is not None and isinstance(score, (int, float)):  # a day drawn just now has no seed of its own
+        if key[2] is not None and isinstance(score, (int, float)):  # randomly drawn days have no seed to pair by
             found[key] = float(score)
     return found
 
 
 def read_side(paths):
-    """All days of some entries; a day played more than once counts by the mean of its plays."""
+    """All days of the entries; a day that was run more than once counts with the mean of its runs."""
     plays = {}
     for path in paths:
         for key, score in read_days(path).items():
@@ -66,7 +66,7 @@
 
 
 def pairs_of(before, after):
-    """[(key, before, after)] of the days that both have, and how many only one side has."""
+    """[(key, before, after)] of the days on both sides, and the number of days on only one side."""
     both = sorted(set(before) & set(after), key=str)
     return [(key, before[key], after[key]) for key in both], len(set(before) ^ set(after))
 
@@ -88,21 +88,21 @@
     if len(by_site) > 1:
         out.write(row_of("all", [value for differences in by_site.values() for value in differences], noise) + "\n")
     if alone:
-        out.write("%d days were played on one side only and are left out\n" % alone)
+        out.write("%d days were run on one side only and are left out\n" % alone)
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--before", nargs="+", required=True, metavar="ENTRY")
     parser.add_argument("--after", nargs="+", required=True, metavar="ENTRY")
-    parser.add_argument("--noise", type=float, default=NOISE, help="a difference of one play that says nothing")
+    parser.add_argument("--noise", type=float, default=NOISE, help="largest difference that counts as noise")
     chosen = parser.parse_args()
     try:
         pairs, alone = pairs_of(read_side(chosen.before), read_side(chosen.after))
     except UnreadableEntry as problem:
         sys.exit("compare_runs: %s" % problem)
     if not pairs:
-        sys.exit("compare_runs: no day was played on both sides with the same seed")
+        sys.exit("compare_runs: no day was run on both sides with the same seed")
     write_table(pairs, alone, chosen.noise, sys.stdout)
 
 
--- a/scripts/deploy_build.py
+++ b/scripts/deploy_build.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
 """Runs the build of deploy/system.toml in a clean copy of the sources and measures it.
 
-The platform gives the build 15 minutes on a machine that may be busy, so what counts is its processor time, as if it
-had half of one core, and its memory at the peak, against half of a machine of 16 GB. A build over a limit, or one that
-fails, ends with status 1 and says which limit or which command it was.
+The platform allows 15 minutes for the build, on a machine that may be busy. The limits are therefore the processor time
+of half a core over 15 minutes, and for the peak memory half of a 16 GB machine. If the build fails or exceeds a limit,
+the exit status is 1 and the output names the limit or shows the build's errors.
 
 usage: deploy_build.py [--root DIR] [--keep DIR] [--processor-s N] [--memory-mb N]
 """
@@ -22,7 +22,7 @@
 import tomllib
 
 BUILD_LIMIT_S = 15 * 60
-CORE_SHARE = 0.5  # of one core, on a machine that others use as well
+CORE_SHARE = 0.5  # of one core, as the machine is shared
 SMALLEST_MACHINE_MB = 16 * 1024
 MEMORY_SHARE = 0.5
 SAMPLE_S = 0.1
@@ -31,7 +31,7 @@
 
 
 def copy_sources(root, target):
-    """The files that git knows or would add, as they are now: what a clean checkout of the next commit holds."""
+    """Copies the working tree's tracked and unignored files: the content of a clean checkout of the next commit."""
     listed = subprocess.run(
         ["git", "-C", str(root), "ls-files", "-z", "--cached", "--others", "--exclude-standard", ":!journal"],
         check=True,
@@ -45,7 +45,7 @@
 
 
 def resident_mb(session):
-    """Resident memory of all processes of a session, and of its largest one with its name."""
+    """Resident memory of all processes of a session, and that of the largest one with its name."""
     total, largest, name = 0.0, 0.0, ""
     for entry in pathlib.Path("/proc").iterdir():
         if not entry.name.isdigit():
@@ -56,7 +56,7 @@
                 continue
             size = int((entry / "statm").read_text().split()[1]) * PAGE_MB
         except (OSError, ValueError, IndexError):
-            continue  # it has ended meanwhile
+            continue  # the process has ended
         total += size
         if size > largest:
             largest, name = size, head.split("(", 1)[1]
@@ -64,7 +64,7 @@
 
 
 class MemoryWatch(threading.Thread):
-    """Looks at a session's memory until it is told to stop."""
+    """Samples a session's memory until `ended` is set."""
 
     def __init__(self, session):
         super().__init__(daemon=True)
@@ -83,7 +83,7 @@
 
 
 def run_build(command, folder):
-    """Runs the command; its status, output, times and memory."""
+    """Runs the command; returns status (None: timed out), output, wall time, processor time and memory watch."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     began = time.monotonic()
     with tempfile.TemporaryFile() as output:
@@ -108,13 +108,13 @@
 
 
 def problems_of(status, text, processor_s, watch, limits):
-    """What was wrong, a line each; none where the build is within its limits."""
+    """The problems, one line each; empty if the build succeeded within its limits."""
     problems = []
     if status is None:
         problems.append("the build did not end within %d s" % BUILD_LIMIT_S)
     elif status != 0:
         if "Killed" in text or "fatal error: " in text and "terminated program" in text:
-            problems.append("a compiler was killed: the machine had no memory left")
+            problems.append("a compiler was killed: no memory left on the machine")
         told = [line for line in text.splitlines() if "error" in line.lower() or "Error" in line]
         problems.append("the build ended with status %d" % status)
         problems += ["  " + line for line in (told or text.splitlines())[:ERROR_LINES]]
--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Prints the system packages of this project, one a line, with shell tools alone: a bare machine has no Python.
-# "product": those that deploy/system.toml lists for a clean build; "all" (default): with what the tests add.
+# Prints the system packages of this project, one per line, using only shell tools: a fresh machine has no Python.
+# "product": the packages in deploy/system.toml, for a clean build; "all" (default): also those for the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 sed -n '/^packages *= *\[/,/\]/p' deploy/system.toml | sed 's/#.*//' | grep -o '"[^"]*"' | tr -d '"'
--- a/scripts/request_causes.py
+++ b/scripts/request_causes.py
@@ -1,12 +1,12 @@
-"""Where the worth of requests goes: one cause for each request that was late or failed, with sums.
+"""Attributes the lost worth of requests: one cause for each request that was late or failed, with sums.
 
 Reads the lines that nodes log for each relayed request at level debug (event `request`), from files or from standard
-input; other text around a line's JSON is left aside. Each request that was not served in time falls into exactly one
-cause, judged by how the time to its first output was spent; the sums of the causes add up to what these requests lost.
+input; text around a line's JSON is ignored. Each request that was not served in time is assigned exactly one cause, by
+what took most of the time to its first output; the causes add up to the total worth lost by these requests.
 
-Worths are given by the time within which a kind of request is to be answered: `--worth 1000=2,0.6` says that a request
-with a target of 1,000 ms is worth 2 in time and 0.6 late. A generation counts by its size: 0.3 + 0.7 times its tokens
-(in + 10 x out) over the mean of its kind, four at the most.
+Worths are given per latency target: `--worth 1000=2,0.6` means that a request with a target of 1,000 ms is worth 2 if
+served in time and 0.6 if late. A generation is weighted by its size: 0.3 + 0.7 times its tokens (in + 10 x out) over
+the mean of its kind, at most 4.
 Use: request_causes.py [FILE ...] --worth MS=IN_TIME,LATE ... [--seconds N] [--svg FILE]
 """
 
@@ -32,7 +32,7 @@
 
 
 def reading_speeds(requests):
-    """By service: (microseconds without reading, microseconds a token), from those that had nothing ahead of them."""
+    """By service: (base microseconds, microseconds per token read), from requests with no known work ahead of them."""
     samples = collections.defaultdict(list)
     for request in requests:
         if answered(request) and request["tries"] == 1 and request["outstanding"] == 0 and request["size"] > 0:
@@ -41,7 +41,7 @@
 
 
 def line_through(points):
-    """A line under most of the points: least squares over the faster half of each tenth of the token range."""
+    """Fits a line to the fast requests: least squares over the faster half of each tenth of the points by tokens."""
     points = sorted(points)
     chosen = []
     step = max(1, len(points) // 10)
@@ -57,7 +57,7 @@
 
 
 def cause_of(request, speeds):
-    """The one cause of a request that was not served in time."""
+    """The cause of a request that was not served in time."""
     outcome = request["outcome"]
     if outcome == "caller-gone":
         return "client left: " + slowest_part(request, speeds)
@@ -76,7 +76,7 @@
 
 
 def slowest_part(request, speeds):
-    """What took most of the time to the first output, or till the end where none came."""
+    """The part that took most of the time to the first output; without output, of four times the target."""
     base, each = speeds.get(request["service"], (0.0, 0.0))
     if request["tries"] == 0:
         return "waited at the node for " + (request["held_by"] or "a place")
@@ -108,7 +108,7 @@
 
 
 def table_of(requests, worths):
-    """Rows (cause, requests, worth lost, by target), dearest first; then worth owed and worth lost in all."""
+    """Rows (cause, requests, worth lost, requests by target), most worth first; total worth owed and lost; speeds."""
     speeds = reading_speeds(requests)
     mean_sizes = mean_sizes_of(requests)
     lost = collections.defaultdict(lambda: [0, 0.0, collections.Counter()])
@@ -127,7 +127,7 @@
 
 
 def lost_by_second(requests, worths, seconds):
-    """Worth lost by the requests that arrived in each stretch of so many seconds, from the first arrival on."""
+    """Worth lost by the requests that arrived in each interval of `seconds`, starting at the first arrival."""
     mean_sizes = mean_sizes_of(requests)
     start = min((request["arrived"] for request in requests), default=0)
     lost = collections.Counter()
@@ -141,7 +141,7 @@
 
 
 def busiest_over_mean(requests):
-    """By service: tokens read and requests of the busiest replica over the mean of those used."""
+    """By service: replicas used, and the busiest replica's requests and tokens read, as multiples of the mean."""
     tokens = collections.defaultdict(collections.Counter)
     counts = collections.defaultdict(collections.Counter)
     for request in requests:
@@ -201,7 +201,7 @@
             sys.exit("request_causes: %s: %s" % (name, problem.strerror))
     requests, damaged = read_requests(lines if chosen.files else sys.stdin)
     if not requests:
-        sys.exit("request_causes: no request was told of; are the nodes' logs at level debug?")
+        sys.exit("request_causes: no request lines found; are the nodes' logs at level debug?")
     write_table(requests, damaged, dict(chosen.worth), max(1, chosen.seconds), sys.stdout)
 
 
--- a/scripts/request_lines.py
+++ b/scripts/request_lines.py
@@ -1,14 +1,14 @@
-"""Reads the lines that nodes log for each relayed request (event `request`, level debug)."""
+"""Parses the lines that nodes log for each relayed request (event `request`, level debug)."""
 
 import json
 
 
 class DamagedLine(Exception):
-    """A request's line that can't be read whole."""
+    """Raised for a request line that is truncated or invalid."""
 
 
 def read_requests(lines):
-    """The requests told in some lines, and how many lines about requests were cut or damaged."""
+    """The requests in these log lines, and the number of request lines that were truncated or invalid."""
     requests, damaged = [], 0
     for line in lines:
         if '"event":"request"' not in line:
--- a/scripts/system_packages.py
+++ b/scripts/system_packages.py
@@ -1,4 +1,4 @@
-"""What this machine's package database says: files, hard dependencies, owners. Recommendations never count."""
+"""Queries this machine's package database: files, hard dependencies, owners. Recommendations are ignored."""
 
 import dataclasses
 import os
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass
 class Package:
-    """One installed package; each dependency is a list of alternatives in the order given."""
+    """An installed package; each dependency is a list of alternatives in the order given."""
 
     depends: list
     provides: list
@@ -18,7 +18,7 @@
 
 
 def names(text):
-    """The bare names in one list of the package database: no versions, no architectures."""
+    """The names in a list of the package database, without versions and architectures."""
     return [re.split(r"[ (:\[]", part.strip())[0] for part in text.split(",") if part.strip()]
 
 
@@ -27,7 +27,7 @@
 
 
 class Database:
-    """The installed packages, as dpkg knows them."""
+    """The installed packages according to dpkg."""
 
     def __init__(self, packages, files):
         self.packages = packages
@@ -38,7 +38,7 @@
                 self.providers.setdefault(provided, []).append(name)
 
     def chosen(self, alternatives):
-        """The package that fulfils one dependency here; the first alternative goes before the later ones."""
+        """The installed package that satisfies a dependency; earlier alternatives take precedence. None: none does."""
         for name in alternatives:
             if name in self.packages:
                 return name
@@ -47,7 +47,7 @@
         return None
 
     def closure(self, listed):
-        """The listed packages, the essential ones, and all that these depend on; second, the names not found."""
+        """The listed and the essential packages with all their dependencies, and the names that were not found."""
         found, absent = set(), []
         waiting = [[name] for name in listed]
         waiting += [[name] for name, package in self.packages.items() if package.essential]
@@ -62,7 +62,7 @@
         return found, absent
 
     def owners(self, paths):
-        """For each path that some installed package holds, that package."""
+        """Maps each path that belongs to an installed package to that package."""
         wanted, owner = set(paths), {}
         for name in sorted(self.packages):
             for path in wanted & self.files[name]:
@@ -71,13 +71,13 @@
 
 
 def usual(path):
-    """A path with its folders' links followed, the last name left as it is."""
+    """The path with symbolic links resolved in its directories, but not in its last component."""
     folder, name = os.path.split(os.path.normpath(path))
     return os.path.join(os.path.realpath(folder), name)
 
 
 def file_lists(packages):
-    """The files of each package; asked for in one call, whose answers stand apart by an empty line."""
+    """The files of each package, from one dpkg call whose output has an empty line between packages."""
     told = subprocess.run(["dpkg", "-L"] + packages, capture_output=True, text=True, check=True).stdout
     folders, files = {}, {}
     for name, block in zip(packages, told.split("\n\n"), strict=True):
@@ -91,7 +91,7 @@
 
 
 def installed():
-    """The database of this machine."""
+    """Reads the package database of this machine."""
     form = "\\t".join("${%s}" % field for field in FIELDS) + "\\n"
     table = subprocess.run(["dpkg-query", "-W", "-f", form], capture_output=True, text=True, check=True).stdout
     packages = {}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The whole test command: unit tests and the simulator's fixed seeds, the file
-# rules, then a live fleet through short scenarios with a verdict.
+# Runs all tests: unit tests with the simulator's fixed seeds, the checks of the sources, then short scenarios on live
+# fleets.
 set -euo pipefail
 build="${1:-build}"
 cd "$(dirname "$0")/.."
@@ -120,7 +120,7 @@
 soak planted-drops --planted drops --seed 4 --seconds 25
 soak planted-unsynced --planted unsynced --seed 2 --seconds 25
 wait
-# Faults that are known and not mended yet: KNOWN-RED.txt, a line each: test, cause, issue.
+# Known failures do not count: KNOWN-RED.txt has one per line: test, cause, issue.
 known=0
 if [ -s KNOWN-RED.txt ]; then
   while IFS=, read -r name rest; do
--- a/scripts/tidy.py
+++ b/scripts/tidy.py
@@ -1,6 +1,7 @@
-"""Runs clang-tidy, with the checks of .clang-tidy, over the control code; exit 1 on a finding.
+"""Runs clang-tidy with the checks of .clang-tidy over FOLDERS; exits with 1 on a finding.
 
-The compile commands come from a fresh configuration of the product, without prepared headers of another compiler.
+The compile commands come from a fresh configuration, because clang-tidy cannot use another compiler's precompiled
+headers.
 Use: tidy.py [--jobs N] [--limit SECONDS] [FOLDER...]
 """
 
@@ -14,7 +15,7 @@
 import tempfile
 import time
 
-# Functions over 40 lines that wait to be split: a new one fails the check, and so does a listed one that is gone.
+# Known functions over 40 lines, to be split: any other one fails the check, and so does a listed one that is short now.
 WAITING = {
     "source/control/weights_duty.cpp: step_partition",
 }
@@ -31,7 +32,7 @@
 
 
 def run(path, folder, limit):
-    """What clang-tidy prints for one file; second, whether it ended by itself."""
+    """The output of clang-tidy for one file, and whether it finished within the limit."""
     command = ["clang-tidy", "--quiet", "-p", folder, str(path)]
     try:
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=limit)
@@ -41,7 +42,7 @@
 
 
 def judge(printed, waiting=frozenset(WAITING), root=ROOT):
-    """The findings in all that was printed, once each; second, the waiting functions that were met."""
+    """The distinct findings in clang-tidy's output, and the known long functions that were found."""
     bad, met = set(), set()
     for line in printed.splitlines():
         found = FINDING.match(line)
@@ -70,14 +71,14 @@
         with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
             told = list(pool.map(lambda path: run(path, folder, options.limit), files))
     bad, met = judge("\n".join(printed for printed, _ in told))
-    bad |= {"%s: not done in time" % path for path, (_, ended) in zip(files, told) if not ended}
+    bad |= {"%s: timed out" % path for path, (_, ended) in zip(files, told) if not ended}
     looked_at = tuple(str(folder) + "/" for folder in options.folders)
-    bad |= {"%s is short now: take it off the list" % name for name in WAITING - met if name.startswith(looked_at)}
+    bad |= {"%s is short now: remove it from the list" % name for name in WAITING - met if name.startswith(looked_at)}
     for item in sorted(bad):
         print(item)
     state = "clean" if not bad else "%d findings" % len(bad)
     seconds = time.monotonic() - began
-    print("clang-tidy: %s (%d files in %.0f s, %d long functions waiting)" % (state, len(files), seconds, len(met)))
+    print("clang-tidy: %s (%d files in %.0f s, %d known long functions)" % (state, len(files), seconds, len(met)))
     return 1 if bad or not files else 0
 
 
--- a/scripts/unit_tests.sh
+++ b/scripts/unit_tests.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Runs all unit tests but those that are known to be red, then these, each alone:
-# what they tell is printed and not counted. Any other failure fails. Tests with the tag [alone]
-# run in a process of their own, as they may leave a library in a state that others can't work with.
-# unit_tests.sh PROGRAM LIST: a line of the list is `test, cause, issue`.
+# Runs all unit tests except the known failures, then each known failure by itself: its result is printed and does not
+# count. Any other failure fails the run. Tests tagged [alone] run in a process of their own, because they may leave a
+# library in a state in which other tests fail.
+# unit_tests.sh PROGRAM LIST: each line of LIST is `test, cause, issue`.
 set -euo pipefail
 program="$1"
 list="$2"
--- a/tests/compare_runs_test.py
+++ b/tests/compare_runs_test.py
@@ -1,4 +1,4 @@
-"""Tests of the comparison of measured days, scripts/compare_runs.py."""
+"""Tests scripts/compare_runs.py, the comparison of measured days."""
 
 import io
 import json
@@ -49,7 +49,7 @@
         compare_runs.write_table(pairs, alone, 0.03, out)
         self.assertIn("north quiet (seed 1): 0.600 -> 0.900, +0.300", out.getvalue())
         self.assertIn("too few pairs", out.getvalue())
-        self.assertIn("2 days were played on one side only", out.getvalue())
+        self.assertIn("2 days were run on one side only", out.getvalue())
 
 
 class Errors(unittest.TestCase):
@@ -65,10 +65,10 @@
             half.write_text('{"site": "north", "days": [{"name": "quiet"}]}')
             for path, told in (
                 (cut, "is cut or damaged"),
-                (foreign, "tells of no days"),
+                (foreign, "has no list of days"),
                 (half, "a day without 'seed'"),
                 (pathlib.Path(folder) / "none", "No such file"),
-                (other, "no day was played on both sides"),
+                (other, "no day was run on both sides"),
             ):
                 ran = subprocess.run(
                     [sys.executable, str(ROOT / "scripts" / "compare_runs.py"), "--before", good, "--after", str(path)],
--- a/tests/deploy_build_test.py
+++ b/tests/deploy_build_test.py
@@ -1,4 +1,4 @@
-"""The measurement of the deploy build finds builds that fail, take too long or need too much memory."""
+"""Tests scripts/deploy_build.py: it reports builds that fail, take too long or need too much memory."""
 
 import pathlib
 import subprocess
@@ -9,7 +9,7 @@
 
 
 def measured(command, *options):
-    """Status and output of the script over a repository whose build is `command`."""
+    """Status and output of the script for a repository with this build command."""
     with tempfile.TemporaryDirectory() as made:
         root = pathlib.Path(made)
         (root / "deploy").mkdir()
--- a/tests/deploy_warnings_test.py
+++ b/tests/deploy_warnings_test.py
@@ -1,4 +1,4 @@
-"""A warning does not end the build of the deploy file, and ends ours."""
+"""Checks that warnings are errors in our build, but not in the build of deploy/system.toml."""
 
 import json
 import pathlib
@@ -13,7 +13,7 @@
 
 
 def commands(options):
-    """The compiler's commands of a build that is configured with these options."""
+    """The compiler commands of a build configured with these options."""
     with tempfile.TemporaryDirectory() as folder:
         subprocess.run(
             ["cmake", "-S", str(ROOT), "-B", folder, "-DCMAKE_EXPORT_COMPILE_COMMANDS=ON", *options],
--- a/tests/includes_test.py
+++ b/tests/includes_test.py
@@ -1,4 +1,4 @@
-"""The check of includes under test: planted breaches are found, allowed ones pass."""
+"""Tests scripts/check_includes.py: planted layering violations are found, known ones pass."""
 
 import pathlib
 import sys
@@ -40,13 +40,13 @@
 bad, count = judged(CLEAN)
 assert bad == [] and count == 7, (bad, count)
 up = dict(CLEAN, **{"source/ground/times.cpp": '#include "top/node.hpp"\n', "source/top/node.hpp": ""})
-only(judged(up)[0], "source/ground/times.cpp includes source/top/node.hpp: up")
+only(judged(up)[0], "source/ground/times.cpp includes source/top/node.hpp: a higher layer")
 assert judged(up, {("source/ground/times.cpp", "source/top/node.hpp")})[0] == []
-only(judged(CLEAN, {("source/ground/times.cpp", "source/top/node.hpp")})[0], "take it off the list")
-only(judged(dict(CLEAN, **{"source/left/vote.cpp": '  #  include "right/members.hpp"\n'}))[0], "to its side")
-only(judged(dict(CLEAN, **{"source/ground/wire.cpp": '#include "platform/form.hpp"\n'}))[0], "up")
+only(judged(CLEAN, {("source/ground/times.cpp", "source/top/node.hpp")})[0], "remove it from the list")
+only(judged(dict(CLEAN, **{"source/left/vote.cpp": '  #  include "right/members.hpp"\n'}))[0], "a sibling group")
+only(judged(dict(CLEAN, **{"source/ground/wire.cpp": '#include "platform/form.hpp"\n'}))[0], "a higher layer")
 joined = {"source/attic/a.hpp": '#include "top/b.hpp"\n', "source/top/b.hpp": '#include "attic/a.hpp"\n'}
 assert judged(dict(CLEAN, **joined))[0] == []
 only(judged(dict(CLEAN, **{"source/top/gone.cpp": '#include "top/gone.hpp"\n'}))[0], "not found")
-only(judged(dict(CLEAN, **{"source/new/a.cpp": '#include "ground/times.hpp"\n'}))[0], "stands on no floor")
-print("includes check: planted breaches found")
+only(judged(dict(CLEAN, **{"source/new/a.cpp": '#include "ground/times.hpp"\n'}))[0], "is in no layer")
+print("includes check: planted violations found")
--- a/tests/packages_test.py
+++ b/tests/packages_test.py
@@ -1,4 +1,4 @@
-"""The check of the listed packages under test: planted gaps are found, by name, and a full list passes.
+"""Tests scripts/check_packages.py: a missing package is found and named, and the complete list passes.
 
 Use: packages_test.py BUILD-FOLDER (a finished build; nothing is compiled)
 """
@@ -15,7 +15,7 @@
 
 
 def small_database():
-    """Five packages: one that needs a library, one that only recommends it, alternatives, an essential one."""
+    """Five packages: one that depends on a library, one that only recommends it, alternatives, an essential one."""
     packages = {
         "product-dev": Package([["library-dev"], ["absent", "second"]], [], False),
         "recommending": Package([], [], False),
@@ -63,7 +63,7 @@
 
 
 def real_build_with_planted_gaps(folder):
-    """Each of these was or could be forgotten: a header, a tool, a library's configuration, the compiler."""
+    """Removes packages that were or could be forgotten: a header, a tool, a library's CMake files, the compiler."""
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     dependencies, database = check_packages.read_dependencies(folder), system_packages.installed()
     assert check_packages.judge(deploy, dependencies, database)[0] == []
--- a/tests/request_causes_test.py
+++ b/tests/request_causes_test.py
@@ -1,4 +1,4 @@
-"""Tests of the table of causes that scripts/request_causes.py makes of nodes' logs."""
+"""Tests scripts/request_causes.py, which attributes lost worth to causes from nodes' logs."""
 
 import io
 import json
@@ -48,7 +48,7 @@
 
 
 def calm(count=60):
-    """Requests that show a first output after 100 ms and 0.02 ms for a token."""
+    """Requests with the first output after 100 ms plus 0.02 ms per token."""
     return [
         line(tokens_to_read=200 * number, first_output_microseconds=100 * MS + 200 * number * 20)
         for number in range(count)
@@ -125,7 +125,7 @@
             self.assertIn(told, ran.stderr)
         ran = subprocess.run(script, capture_output=True, text=True, input="nothing here\n")
         self.assertNotEqual(ran.returncode, 0)
-        self.assertIn("no request was told of", ran.stderr)
+        self.assertIn("no request lines found", ran.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/tidy_test.py
+++ b/tests/tidy_test.py
@@ -1,4 +1,4 @@
-"""The reading of clang-tidy's findings under test, and clang-tidy itself on a planted breach of .clang-tidy."""
+"""Tests how scripts/tidy.py parses findings, and that clang-tidy reports planted violations of .clang-tidy."""
 
 import pathlib
 import subprocess
@@ -37,4 +37,4 @@
     assert done.returncode != 0
     for words in ("bugprone-use-after-move", "function 'long_one' exceeds"):
         assert any(words in line for line in bad), (words, done.stdout, done.stderr)
-print("clang-tidy check: planted breaches found")
+print("clang-tidy check: planted violations found")
--- a/tests/unit_tests_test.py
+++ b/tests/unit_tests_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The runner of unit tests passes over what is listed as known to be red, and over nothing else."""
+"""Tests scripts/unit_tests.sh: it ignores the failures of the tests in KNOWN-RED.txt, and no others."""
 
 import pathlib
 import subprocess
@@ -7,7 +7,7 @@
 import unittest
 
 RUNNER = pathlib.Path(__file__).resolve().parent.parent / "scripts" / "unit_tests.sh"
-# As a test program of the framework is called: a list of names, all but some, or one.
+# Imitates a Catch2 test program: it can list its tests, run all except some, or run one.
 PROGRAM = """#!/usr/bin/env python3
 import re, sys
 red = %r
