--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Microseconds connect_limit = 600 * one_millisecond;
-constexpr Microseconds forgotten_within = 10 * one_millisecond;  // a reset this soon means that no work was begun
+constexpr Microseconds stale_reset_window = 10 * one_millisecond;  // a reset this soon means that no work was begun
 
 }  // namespace
 
@@ -73,9 +73,9 @@
         case ReplicaExchange::HeadEnd::broke: reason = "replica-broke-before-its-answer"; break;
     }
     auto const now = clock_now();
-    auto const at_once = end == ReplicaExchange::HeadEnd::broke && now - began < forgotten_within;
+    auto const at_once = end == ReplicaExchange::HeadEnd::broke && now - began < stale_reset_window;
     if (at_once && facts.connection == ConnectionUse::reused && !client_left())
-        node.pool.forgotten(connection->rested, now);
+        node.pool.record_stale_connection(connection->idle_before_reuse, now);
     co_return false;
 }
 
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -20,15 +20,15 @@
 }
 
 auto ReplicaPool::take(std::string const& replica, Microseconds now) -> ReplicaConnectionPointer {
-    if (now >= rest_limit_ends) rest_limit = longest_rest;
+    if (now >= learned_limit_ends_at) learned_idle_limit = max_idle_time;
     auto const found = idle.find(replica);
     if (found == idle.end()) return nullptr;
     auto& list = found->second;
     while (!list.empty()) {
         auto connection = std::move(list.back());
         list.pop_back();
-        connection->rested = now - connection->idle_since;
-        if (connection->rested < std::min(connection->idle_limit, rest_limit) &&
+        connection->idle_before_reuse = now - connection->idle_since;
+        if (connection->idle_before_reuse < std::min(connection->idle_limit, learned_idle_limit) &&
             is_quiet(connection->stream.socket())) {
             ++reused;
             return connection;
@@ -51,15 +51,15 @@
     return seconds * one_second - std::min<Microseconds>(one_second, seconds * one_second / 2);
 }
 
-auto ReplicaPool::forgotten(Microseconds rested, Microseconds now) -> void {
-    if (now >= rest_limit_ends) rest_limit = longest_rest;
-    rest_limit = std::min(rest_limit, std::max(least_rest, rested / 2));
-    rest_limit_ends = now + rest_memory;
+auto ReplicaPool::record_stale_connection(Microseconds idle_before_reuse, Microseconds now) -> void {
+    if (now >= learned_limit_ends_at) learned_idle_limit = max_idle_time;
+    learned_idle_limit = std::min(learned_idle_limit, std::max(min_idle_time, idle_before_reuse / 2));
+    learned_limit_ends_at = now + learned_limit_lifetime;
 }
 
 auto ReplicaPool::give_back(std::string const& replica, ReplicaConnectionPointer connection, Microseconds now) -> void {
     auto& list = idle[replica];
-    if (list.size() >= most_idle || connection->buffer.size() > 0) return;
+    if (list.size() >= max_idle_connections || connection->buffer.size() > 0) return;
     connection->idle_since = now;
     connection->stream.expires_never();
     list.push_back(std::move(connection));
--- a/source/connection/replica_pool.hpp
+++ b/source/connection/replica_pool.hpp
@@ -15,29 +15,29 @@
     beast::flat_buffer buffer;
     Microseconds idle_since = 0;
     Microseconds idle_limit = 0;
-    Microseconds rested = 0;  // idle time before it was taken from the pool
+    Microseconds idle_before_reuse = 0;  // idle time before it was taken from the pool
     explicit ReplicaConnection(asio::any_io_executor executor) : stream(std::move(executor)) {}
 };
 using ReplicaConnectionPointer = std::unique_ptr<ReplicaConnection>;
 
 struct ReplicaPool {
-    static constexpr Microseconds longest_rest = 600 * one_second;
-    static constexpr Microseconds least_rest = 40 * one_millisecond;
-    static constexpr Microseconds rest_memory = 20 * one_second;
-    static constexpr auto most_idle = std::size_t{64};  // per replica
+    static constexpr Microseconds max_idle_time = 600 * one_second;
+    static constexpr Microseconds min_idle_time = 40 * one_millisecond;
+    static constexpr Microseconds learned_limit_lifetime = 20 * one_second;
+    static constexpr auto max_idle_connections = std::size_t{64};  // per replica
     std::unordered_map<std::string, std::vector<ReplicaConnectionPointer>> idle;
     std::uint64_t opened = 0;
     std::uint64_t reused = 0;
-    std::uint64_t dropped = 0;               // expired, closed by the peer, or with unsolicited bytes
-    Microseconds rest_limit = longest_rest;  // learned; reset to the maximum at `rest_limit_ends`
-    Microseconds rest_limit_ends = 0;
+    std::uint64_t dropped = 0;                        // expired, closed by the peer, or with unsolicited bytes
+    Microseconds learned_idle_limit = max_idle_time;  // learned; reset to the maximum at `learned_limit_ends_at`
+    Microseconds learned_limit_ends_at = 0;
 
     // A usable idle connection; nullptr if there is none.
     auto take(std::string const& replica, Microseconds now) -> ReplicaConnectionPointer;
     auto give_back(std::string const& replica, ReplicaConnectionPointer connection, Microseconds now) -> void;
     // Records that a connection was reset at its first reuse after this idle time: the replica side had dropped it
     // without closing it. For the next 20 s, connections idle for more than half of that time are not reused.
-    auto forgotten(Microseconds rested, Microseconds now) -> void;
+    auto record_stale_connection(Microseconds idle_before_reuse, Microseconds now) -> void;
     // Closes expired connections, and those to replicas that are not in `replicas`.
     auto sweep(std::set<std::string> const& replicas, Microseconds now) -> void;
 };
--- a/tests/request_wire_test.cpp
+++ b/tests/request_wire_test.cpp
@@ -145,18 +145,18 @@
     auto& pool = wire.node->pool;
     pool.idle["life-1"].front()->idle_since -= one_second;
     CHECK(wire.ask("id-2").end == TryEnd::unknown_before);  // it may have run
-    CHECK(pool.rest_limit > 400 * one_millisecond);
-    CHECK(pool.rest_limit < 600 * one_millisecond);
+    CHECK(pool.learned_idle_limit > 400 * one_millisecond);
+    CHECK(pool.learned_idle_limit < 600 * one_millisecond);
     REQUIRE(wire.ask("id-1").end == TryEnd::answered);
     pool.idle["life-1"].front()->idle_since -= one_second;
     auto const now = clock_now();
     CHECK(pool.take("life-1", now) == nullptr);
-    pool.forgotten(0, now);
-    CHECK(pool.rest_limit == ReplicaPool::least_rest);
-    pool.take("life-1", now + ReplicaPool::rest_memory);
-    CHECK(pool.rest_limit == ReplicaPool::longest_rest);
-    pool.forgotten(10 * one_second, now + ReplicaPool::rest_memory);
-    CHECK(pool.rest_limit == 5 * one_second);
+    pool.record_stale_connection(0, now);
+    CHECK(pool.learned_idle_limit == ReplicaPool::min_idle_time);
+    pool.take("life-1", now + ReplicaPool::learned_limit_lifetime);
+    CHECK(pool.learned_idle_limit == ReplicaPool::max_idle_time);
+    pool.record_stale_connection(10 * one_second, now + ReplicaPool::learned_limit_lifetime);
+    CHECK(pool.learned_idle_limit == 5 * one_second);
 }
 
 TEST_CASE("an answer under way ends soon after the deadline, and a silence ends with it") {
