--- a/programs/dockrock_control.cpp
+++ b/programs/dockrock_control.cpp
@@ -63,7 +63,7 @@
 auto change(
     Client const& client, http::verb method, std::string const& body, std::string const& condition,
     std::string const& identity) -> int {
-    auto call = http_ask(method, "/control/configuration", body);
+    auto call = make_http_call(method, "/control/configuration", body);
     if (method == http::verb::patch) call.content_type = "application/json-patch+json";
     if (!condition.empty()) call.headers.emplace_back("If-Match", condition);
     if (!identity.empty()) call.headers.emplace_back("Change-Identity", identity);
@@ -72,14 +72,14 @@
 
 auto revoke(Client const& client, std::string const& identity) -> int {
     for (auto count = 0; count < 10; ++count) {  // conditional update: must not overwrite a concurrent change
-        auto const current = client.ask(http_ask(http::verb::get, "/control/configuration"));
+        auto const current = client.ask(make_http_call(http::verb::get, "/control/configuration"));
         auto tree = current.status == 200 ? parse_json(current.body) : std::nullopt;
         if (!tree) return print(current);
         if (remove_key(*tree, identity) == 0) {
             std::cerr << "no key of this identity\n";
             return 1;
         }
-        auto call = http_ask(http::verb::put, "/control/configuration", json::serialize(*tree));
+        auto call = make_http_call(http::verb::put, "/control/configuration", json::serialize(*tree));
         call.headers.emplace_back("If-Match", current.etag);
         auto const answer = client.ask(call);
         if (answer.status != 412) return print(answer);
@@ -112,19 +112,19 @@
         auto secret = key.isSet() ? read_input(key.getValue()) : std::string();
         while (!secret.empty() && (secret.back() == '\n' || secret.back() == '\r')) secret.pop_back();
         auto const client = Client{node.getValue(), secret};
-        if (word(0) == "get") return print(client.ask(http_ask(http::verb::get, "/control/configuration")));
-        if (word(0) == "status") return print(client.ask(http_ask(http::verb::get, "/control/status")));
+        if (word(0) == "get") return print(client.ask(make_http_call(http::verb::get, "/control/configuration")));
+        if (word(0) == "status") return print(client.ask(make_http_call(http::verb::get, "/control/status")));
         if ((word(0) == "put" || word(0) == "patch") && asked.size() == 2) {
             auto const method = word(0) == "put" ? http::verb::put : http::verb::patch;
             return change(client, method, read_input(word(1)), condition.getValue(), identity.getValue());
         }
         if (word(0) == "check" && asked.size() == 2)
-            return print(client.ask(http_ask(http::verb::post, "/control/check", read_input(word(1)))));
+            return print(client.ask(make_http_call(http::verb::post, "/control/check", read_input(word(1)))));
         if (word(0) == "change" && asked.size() == 2)
-            return print(client.ask(http_ask(http::verb::get, "/control/changes/" + word(1))));
+            return print(client.ask(make_http_call(http::verb::get, "/control/changes/" + word(1))));
         if (word(0) == "revoke" && asked.size() == 2) return revoke(client, word(1));
         if (word(0) == "weights" && asked.size() == 3) {
-            auto call = http_ask(
+            auto call = make_http_call(
                 http::verb::put, "/control/services/" + word(1) + "/weights",
                 json::serialize(fields("weights", word(2))));
             if (!identity.getValue().empty()) call.headers.emplace_back("Change-Identity", identity.getValue());
@@ -132,7 +132,7 @@
         }
         if (word(0) == "form-anew" && asked.size() == 2)
             return print(client.ask(
-                http_ask(http::verb::post, "/control/form-anew", json::serialize(fields("fleet", word(1))))));
+                make_http_call(http::verb::post, "/control/form-anew", json::serialize(fields("fleet", word(1))))));
         if (word(0) == "hash") {
             auto text = read_input("-");
             while (!text.empty() && text.back() == '\n') text.pop_back();
--- a/programs/dockrock_plan.cpp
+++ b/programs/dockrock_plan.cpp
@@ -20,7 +20,7 @@
 }
 
 auto ask(std::string const& node, std::string const& key, std::string const& path) -> std::string {
-    auto const answer = http_call_and_wait(node, http_ask(http::verb::get, path), key);
+    auto const answer = http_call_and_wait(node, make_http_call(http::verb::get, path), key);
     if (answer.status != 200)
         throw std::runtime_error(path + " was answered " + std::to_string(answer.status) + " " + answer.body);
     return answer.body;
--- a/source/connection/http_client.hpp
+++ b/source/connection/http_client.hpp
@@ -40,7 +40,7 @@
 };
 // Builds a call outside of the co_await expression: the compiler we build with destroys braced temporaries inside a
 // co_await twice.
-inline auto http_ask(http::verb method, std::string target, std::string body = std::string()) -> HttpCall {
+inline auto make_http_call(http::verb method, std::string target, std::string body = std::string()) -> HttpCall {
     HttpCall call;
     call.method = method;
     call.target = std::move(target);
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -186,7 +186,7 @@
     auto const age = node.proof_age(clock_now());
     if (age > node.proof_limit()) co_return co_await shed(request, "not-fresh", 1);
     if (!current->list.application) co_return co_await shed(request, "no-application", 5);
-    auto call = http_ask(request.method(), verdict.forward_path, request.body());
+    auto call = make_http_call(request.method(), verdict.forward_path, request.body());
     call.content_type = std::string(request[http::field::content_type]);
     call.headers.emplace_back("Tenant", verdict.ticket.tenant_path);
     auto const address = current->list.application->address;
--- a/source/connection/ticket_run.cpp
+++ b/source/connection/ticket_run.cpp
@@ -78,7 +78,7 @@
         result.held_back = look == LastLook::moved_on;
         co_return result;
     }
-    auto const posted = http_ask(http::verb::post, "/run", run_body(ticket, placement));
+    auto const posted = make_http_call(http::verb::post, "/run", run_body(ticket, placement));
     auto const request = make_request(posted, placement.address);
     // From here on the replica may have received the request: after a failure it is unknown whether it ran
     // (design 10.2).
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -28,7 +28,7 @@
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto wanted = std::make_shared<std::atomic<bool>>(false);
     auto last_good = std::string();  // read whole once, not again while it stays the same
-    auto const listing = http_ask(http::verb::get, "/replicas");
+    auto const listing = make_http_call(http::verb::get, "/replicas");
     while (!finished) {
         co_await pause(100 * one_millisecond);
         if (!wanted->load()) {
@@ -79,7 +79,7 @@
             address = entry->address;
         }
         auto const asked_at = clock_now();
-        auto const ask = http_ask(http::verb::get, "/report?after=" + std::to_string(next_event));
+        auto const ask = make_http_call(http::verb::get, "/report?after=" + std::to_string(next_event));
         auto const answer = co_await connection.call(address, ask, one_second);
         auto const parsed = answer.status == 200 ? parse_json(answer.body) : std::nullopt;
         ReplicaReport report;
@@ -137,7 +137,7 @@
     auto const body = json::serialize(fields(
         "weights", order.weights, "fence", order.fence, "holder", settings.control_address, "incarnation",
         order.incarnation));
-    auto const posted = http_ask(http::verb::post, "/weights", body);
+    auto const posted = make_http_call(http::verb::post, "/weights", body);
     // These receivers check the fence, so a new holder waits for nobody.
     auto const lease = co_await lease_checked(order.partition, order.fence);
     if (!lease || !order_leaves(order.partition, *lease, 0)) co_return;
--- a/tests/call_answer_test.cpp
+++ b/tests/call_answer_test.cpp
@@ -57,7 +57,7 @@
 auto called(std::string const& text, Microseconds limit = 300 * one_millisecond) -> Called {
     auto wire = Wire(answering_with({text}));
     auto connection = HttpConnection(wire.context.get_executor());
-    auto const ask = http_ask(http::verb::get, "/list");
+    auto const ask = make_http_call(http::verb::get, "/list");
     auto answer = outcome_of(wire.context, connection.call(address_of(wire), ask, limit));
     return {std::move(answer), connection.open};
 }
@@ -125,7 +125,7 @@
         while (clock_now() < end) co_await peer.say(early_hints);
     });
     auto connection = HttpConnection(wire.context.get_executor());
-    auto const ask = http_ask(http::verb::get, "/list");
+    auto const ask = make_http_call(http::verb::get, "/list");
     auto const began = clock_now();
     CHECK(
         outcome_of(wire.context, connection.call(address_of(wire), ask, 300 * one_millisecond)).end ==
--- a/tests/request_wire_test.cpp
+++ b/tests/request_wire_test.cpp
@@ -206,7 +206,7 @@
     for (auto const* target : {"/one", "/one?again"}) {
         auto done = false;
         asio::co_spawn(
-            wire.context, connection.call(address, http_ask(http::verb::get, target), one_second),
+            wire.context, connection.call(address, make_http_call(http::verb::get, target), one_second),
             [&](std::exception_ptr, HttpAnswer answer) {
                 bodies.push_back(answer.body);
                 done = true;
--- a/tests/stand_ins/caller.cpp
+++ b/tests/stand_ins/caller.cpp
@@ -152,7 +152,7 @@
 }
 
 auto Caller::watch(std::string target) -> awaitable<void> {
-    auto const ask = http_ask(http::verb::get, "/ready");
+    auto const ask = make_http_call(http::verb::get, "/ready");
     while (driving) {
         auto const answer = co_await http_call(target, ask, one_second);
         if (answer.status == 200) not_ready.erase(target);
--- a/tests/stand_ins/replica_run.hpp
+++ b/tests/stand_ins/replica_run.hpp
@@ -67,7 +67,7 @@
         auto const began = clock_now();
         auto const target = "/prefix?chain=" + std::to_string(chain.empty() ? 0 : chain.back()) +
             "&tokens=" + std::to_string(missing) + "&weights=" + weights;
-        auto const ask = http_ask(http::verb::get, target);
+        auto const ask = make_http_call(http::verb::get, target);
         auto const answer = co_await http_call(source, ask, number_of(body, "fetch_limit_microseconds"));
         took = clock_now() - began;
         if (answer.status == 200) fetched = missing;
@@ -84,7 +84,7 @@
             context,
             http_call(
                 options.store,
-                http_ask(
+                make_http_call(
                     http::verb::put, "/prefix?chain=" + std::to_string(chain.back()) + "&weights=" + weights, "kept"),
                 one_second),
             asio::detached);
