--- a/source/connection/http_client.cpp
+++ b/source/connection/http_client.cpp
@@ -40,7 +40,7 @@
     return request;
 }
 
-auto is_quiet(tcp::socket& socket) -> bool {
+auto is_open_and_idle(tcp::socket& socket) -> bool {
     auto byte = char{};
     auto const size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -53,7 +53,7 @@
     open = false;
 }
 
-auto HttpConnection::open_to(std::string address, Microseconds limit) -> awaitable<bool> {
+auto HttpConnection::ensure_open(std::string address, Microseconds limit) -> awaitable<bool> {
     if (open) co_return true;
     auto const endpoint = endpoint_of(address);
     if (!endpoint) co_return false;
@@ -73,13 +73,13 @@
     HttpAnswer answer;
     auto const endpoint = endpoint_of(address);
     if (!endpoint) co_return answer;
-    if (open && (buffer.size() > 0 || !is_quiet(stream.socket()))) {
+    if (open && (buffer.size() > 0 || !is_open_and_idle(stream.socket()))) {
         auto const opened_for_this = !used;  // the decision made when it was opened may be outdated: do not reconnect
         close();
         if (opened_for_this) co_return answer;
     }
     stream.expires_after(std::chrono::microseconds(limit));
-    if (!co_await open_to(address, limit)) co_return answer;
+    if (!co_await ensure_open(address, limit)) co_return answer;
     used = true;
     auto const request = make_request(wanted, address);
     answer.end = CallEnd::no_answer;  // from here on the peer may receive the call
--- a/source/connection/http_client.hpp
+++ b/source/connection/http_client.hpp
@@ -66,7 +66,7 @@
 
 // Whether the socket is open and has no unread bytes: only then can an idle connection be reused. Unread bytes cannot
 // be the response to a call that has not been sent yet.
-auto is_quiet(tcp::socket& socket) -> bool;
+auto is_open_and_idle(tcp::socket& socket) -> bool;
 
 // A persistent connection for several calls; reopened if it was lost or holds unsolicited bytes.
 struct HttpConnection {
@@ -76,7 +76,7 @@
     bool used = false;  // at least one call was sent on it
     explicit HttpConnection(asio::any_io_executor executor) : stream(std::move(executor)) {}
     // Connects if the connection is not open, so that a caller can make its final decision right before `call`.
-    auto open_to(std::string address, Microseconds limit) -> awaitable<bool>;
+    auto ensure_open(std::string address, Microseconds limit) -> awaitable<bool>;
     auto call(std::string address, HttpCall wanted, Microseconds limit) -> awaitable<HttpAnswer>;
     auto close() -> void;
 };
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -29,7 +29,7 @@
         list.pop_back();
         connection->idle_before_reuse = now - connection->idle_since;
         if (connection->idle_before_reuse < std::min(connection->idle_limit, learned_idle_limit) &&
-            is_quiet(connection->stream.socket())) {
+            is_open_and_idle(connection->stream.socket())) {
             ++reused;
             return connection;
         }
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -133,7 +133,7 @@
 
 auto Node::send_order(Order order) -> awaitable<void> {
     auto connection = HttpConnection(co_await asio::this_coro::executor);
-    if (!co_await connection.open_to(order.address, 500 * one_millisecond)) co_return;
+    if (!co_await connection.ensure_open(order.address, 500 * one_millisecond)) co_return;
     auto const body = json::serialize(fields(
         "weights", order.weights, "fence", order.fence, "holder", settings.control_address, "incarnation",
         order.incarnation));
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -103,7 +103,7 @@
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto end = OrderEnd::unreachable;
     auto status = 0;
-    if (co_await connection.open_to(order.address, connect_limit)) {
+    if (co_await connection.ensure_open(order.address, connect_limit)) {
         // What was not read when the limit passes is not sent on by the system.
         boost::system::error_code ignored;
         connection.stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
