--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -70,7 +70,7 @@
 
 auto serve_calls(Node& node, tcp::socket socket, Answerer answerer) -> awaitable<void> {
     auto stream = beast::tcp_stream(std::move(socket));
-    probe_silence(stream.socket());
+    enable_keepalive_probes(stream.socket());
     auto buffer = beast::flat_buffer();
     while (!node.finished) {
         auto room = MemoryShare(node.message_memory);
--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 auto RelaySession::serve() -> awaitable<void> {
-    probe_silence(client.socket());
+    enable_keepalive_probes(client.socket());
     while (!node.finished) {
         auto const limits = [&] {
             auto const current = node.snapshot.load();
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -6,7 +6,7 @@
 
 namespace dockrock {
 
-auto probe_silence(tcp::socket& socket) -> void {
+auto enable_keepalive_probes(tcp::socket& socket) -> void {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -82,7 +82,7 @@
     connection->stream.expires_after(std::chrono::microseconds(limit));
     auto const [failure] = co_await connection->stream.async_connect(*endpoint, use_tuple);
     if (failure) co_return nullptr;
-    probe_silence(connection->stream.socket());
+    enable_keepalive_probes(connection->stream.socket());
     co_return connection;
 }
 
--- a/source/connection/replica_pool.hpp
+++ b/source/connection/replica_pool.hpp
@@ -50,6 +50,6 @@
 auto connect_to(std::string address, Microseconds limit) -> awaitable<ReplicaConnectionPointer>;
 // Disables Nagle's algorithm and enables TCP keepalive probes and a user timeout, so that the system detects an
 // unresponsive peer within about 4 s.
-auto probe_silence(tcp::socket& socket) -> void;
+auto enable_keepalive_probes(tcp::socket& socket) -> void;
 
 }  // namespace dockrock
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -41,7 +41,7 @@
 }
 
 auto Session::serve() -> awaitable<void> {
-    probe_silence(socket);
+    enable_keepalive_probes(socket);
     while (!node.finished) {
         if (buffer.size() == 0) {  // idle between requests; a resting or stopping node closes it sooner
             auto const quick = node.stopping || node.resting_now;
