--- a/source/connection/replica_exchange.cpp
+++ b/source/connection/replica_exchange.cpp
@@ -80,7 +80,7 @@
 
 auto ReplicaExchange::is_own() const -> bool { return parser->get()[request.identity_field] == request.identity; }
 
-auto ReplicaExchange::skip_stranger() -> awaitable<bool> {
+auto ReplicaExchange::skip_unmatched_answer() -> awaitable<bool> {
     ++strangers;
     parser->limit_stored_body(stored_body_bytes);
     auto const failure = co_await read_whole(connection.stream, connection.buffer, *parser);
@@ -93,7 +93,7 @@
         if (auto const failure = co_await read_one_head(until); failure) co_return head_end_of(failure);
         if (!is_interim(parser->get().status)) {
             if (is_own()) co_return HeadEnd::own_answer;
-            if (!co_await skip_stranger()) co_return HeadEnd::broke;
+            if (!co_await skip_unmatched_answer()) co_return HeadEnd::broke;
         }
         if (clock_now() >= until) co_return HeadEnd::timed_out;  // even while more input arrives
     }
--- a/source/connection/replica_exchange.hpp
+++ b/source/connection/replica_exchange.hpp
@@ -47,7 +47,7 @@
     auto write_some() -> boost::system::error_code;
     auto read_one_head(Microseconds until) -> awaitable<boost::system::error_code>;
     auto is_own() const -> bool;
-    auto skip_stranger() -> awaitable<bool>;
+    auto skip_unmatched_answer() -> awaitable<bool>;
 };
 
 }  // namespace dockrock
