--- a/source/connection/message_grammar.hpp
+++ b/source/connection/message_grammar.hpp
@@ -7,9 +7,9 @@
 namespace dockrock {
 
 // RFC 9110, 15: a status outside of the five classes is invalid.
-inline constexpr auto least_status = 100;
-inline constexpr auto greatest_status = 599;
-constexpr auto is_answer_status(int status) -> bool { return status >= least_status && status <= greatest_status; }
+inline constexpr auto min_status = 100;
+inline constexpr auto max_status = 599;
+constexpr auto is_answer_status(int status) -> bool { return status >= min_status && status <= max_status; }
 
 // RFC 9110, 15.2: an interim response; the final one follows.
 constexpr auto is_interim(int status) -> bool { return status / 100 == 1; }
--- a/source/connection/message_parser.hpp
+++ b/source/connection/message_parser.hpp
@@ -29,10 +29,10 @@
     // limit applies only to what it parses in one call.
     auto limit_head(std::uint32_t bytes) -> void {
         this->header_limit(bytes);
-        most_in_head = bytes;
+        max_head_bytes = bytes;
     }
     // Maximum number of body bytes stored at a time; http::error::body_limit beyond.
-    auto limit_stored_body(std::size_t bytes) -> void { most_stored = bytes; }
+    auto limit_stored_body(std::size_t bytes) -> void { max_stored_bytes = bytes; }
     // Charges this message's memory to `share`: its head, its body and the buffer it is read into. Parsing fails with
     // errc::not_enough_memory when the share cannot grow.
     auto count_in(MemoryShare& share) -> void { room = &share; }
@@ -61,9 +61,9 @@
     static constexpr auto default_head_limit = std::size_t{16U << 10U};
 
     Message message;
-    std::size_t in_head = 0;
-    std::size_t most_in_head = default_head_limit;
-    std::size_t most_stored = std::numeric_limits<std::size_t>::max();
+    std::size_t received_head_bytes = 0;
+    std::size_t max_head_bytes = default_head_limit;
+    std::size_t max_stored_bytes = std::numeric_limits<std::size_t>::max();
     MemoryShare* room = nullptr;
     std::size_t buffer_bytes = 0;
     std::size_t head_bytes = 0;  // as stored
@@ -86,8 +86,8 @@
     }
 
     auto count_head(std::size_t bytes, ErrorCode& failure) -> void {
-        in_head += bytes;
-        failure = in_head > most_in_head ? ErrorCode(http::error::header_limit) : ErrorCode();
+        received_head_bytes += bytes;
+        failure = received_head_bytes > max_head_bytes ? ErrorCode(http::error::header_limit) : ErrorCode();
     }
 
     // A field costs its text and two HeadField objects: reallocating the lines holds the old and the new at once.
@@ -118,7 +118,7 @@
 
     auto store(View piece, ErrorCode& failure) -> std::size_t {
         failure = {};
-        if (piece.size() > most_stored - body().size()) failure = http::error::body_limit;
+        if (piece.size() > max_stored_bytes - body().size()) failure = http::error::body_limit;
         else if (!make_room(body().size() + piece.size()))
             failure = make_error_code(boost::system::errc::not_enough_memory);
         if (failure) return 0;
--- a/source/connection/message_reader.cpp
+++ b/source/connection/message_reader.cpp
@@ -13,10 +13,10 @@
 
 enum class Goal : int { head, some, whole };
 
-constexpr auto most_read_at_once = std::size_t{64U << 10U};
+constexpr auto max_read_size = std::size_t{64U << 10U};
 // `0 CR LF CR LF`. When it parses the first chunk header, Beast asserts that this many bytes are buffered, although
 // fewer may have arrived.
-constexpr auto least_chunked_body = std::size_t{5};
+constexpr auto min_chunked_body = std::size_t{5};
 
 auto note_fault(char const* what) -> void {
     ++message_reader_faults();
@@ -67,7 +67,7 @@
 
 template <bool is_request>
 auto can_parse(beast::flat_buffer const& buffer, MessageParser<is_request> const& parser) -> bool {
-    auto const least = parser.awaits_first_chunk() ? least_chunked_body : std::size_t{1};
+    auto const least = parser.awaits_first_chunk() ? min_chunked_body : std::size_t{1};
     return buffer.size() >= least;
 }
 
@@ -102,7 +102,7 @@
             if (used > 0 && !failure) continue;
         }
         if (parser.is_header_done() && buffer.size() > chunk_framing_limit) co_return http::error::bad_chunk;
-        auto const wanted = beast::read_size(buffer, most_read_at_once);
+        auto const wanted = beast::read_size(buffer, max_read_size);
         if (!parser.hold_buffer(capacity_with(buffer, wanted))) co_return no_room();
         auto const room = buffer.prepare(wanted);
         auto const [failure, size] = co_await stream.async_read_some(room, use_tuple);
@@ -137,7 +137,7 @@
 auto read_final_head(
     beast::tcp_stream& stream, beast::flat_buffer& buffer, std::optional<AnswerParser>& parser,
     boost::optional<std::uint64_t> body_limit) -> awaitable<error_code> {
-    for (auto count = 0; count <= most_interim_answers; ++count) {
+    for (auto count = 0; count <= max_interim_answers; ++count) {
         parser.emplace();
         parser->body_limit(body_limit);
         if (auto const failure = co_await read_head(stream, buffer, *parser); failure) co_return failure;
--- a/source/connection/message_reader.hpp
+++ b/source/connection/message_reader.hpp
@@ -12,7 +12,7 @@
 // Maximum size of a chunk header or of the trailers, in bytes: they are buffered until complete.
 inline constexpr auto chunk_framing_limit = std::size_t{16U << 10U};
 
-inline constexpr auto most_interim_answers = 100;  // before a final response
+inline constexpr auto max_interim_answers = 100;  // before a final response
 
 // Clamps a configured head limit to the range that Beast accepts.
 auto head_limit(std::int64_t bytes) -> std::uint32_t;
@@ -30,7 +30,7 @@
     -> awaitable<boost::system::error_code>;
 
 // Reads the head of the final response, discarding interim ones; http::error::header_limit beyond
-// `most_interim_answers`. `parser` is recreated for each head, with `body_limit` for the response body.
+// `max_interim_answers`. `parser` is recreated for each head, with `body_limit` for the response body.
 auto read_final_head(
     beast::tcp_stream& stream, beast::flat_buffer& buffer, std::optional<AnswerParser>& parser,
     boost::optional<std::uint64_t> body_limit) -> awaitable<boost::system::error_code>;
