--- a/source/connection/message_reader.cpp
+++ b/source/connection/message_reader.cpp
@@ -18,19 +18,19 @@
 // fewer may have arrived.
 constexpr auto min_chunked_body = std::size_t{5};
 
-auto note_fault(char const* what) -> void {
+auto report_library_fault(char const* what) -> void {
     ++message_reader_faults();
     write_log(Level::failure, "message-reader-fault", {{"what", what}});
 }
 
 template <bool is_request>
-auto note_malformed(error_code const& failure) -> void {
+auto report_malformed(error_code const& failure) -> void {
     if (is_request || !is_malformed(failure)) return;
     ++malformed_answers();
     write_log(Level::debug, "answer-malformed", {{"what", failure.message()}});
 }
 
-auto no_room() -> error_code { return make_error_code(boost::system::errc::not_enough_memory); }
+auto not_enough_memory_error() -> error_code { return make_error_code(boost::system::errc::not_enough_memory); }
 
 // Runs a Beast operation on input. An exception (out of memory, or a failed assertion) becomes the error code of this
 // message.
@@ -40,10 +40,10 @@
         auto const scope = InputScope();
         operation();
     } catch (std::bad_alloc const& thrown) {
-        note_fault(thrown.what());
-        failure = no_room();
+        report_library_fault(thrown.what());
+        failure = not_enough_memory_error();
     } catch (std::exception const& thrown) {
-        note_fault(thrown.what());
+        report_library_fault(thrown.what());
         failure = make_error_code(boost::system::errc::protocol_error);
     }
 }
@@ -88,14 +88,14 @@
 auto read_until(Goal goal, Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<error_code> {
     parser.eager(goal != Goal::head);
-    if (!parser.hold_buffer(buffer.capacity())) co_return no_room();
+    if (!parser.hold_buffer(buffer.capacity())) co_return not_enough_memory_error();
     if (goal != Goal::some && reached(goal, parser, 0)) co_return error_code();
     while (true) {
         if (can_parse(buffer, parser)) {
             auto failure = error_code();
             auto const used = parse(buffer, parser, failure);
             if (failure && failure != http::error::need_more) {
-                note_malformed<is_request>(failure);
+                report_malformed<is_request>(failure);
                 co_return failure;
             }
             if (reached(goal, parser, used)) co_return error_code();
@@ -103,7 +103,7 @@
         }
         if (parser.is_header_done() && buffer.size() > chunk_framing_limit) co_return http::error::bad_chunk;
         auto const wanted = beast::read_size(buffer, max_read_size);
-        if (!parser.hold_buffer(capacity_with(buffer, wanted))) co_return no_room();
+        if (!parser.hold_buffer(capacity_with(buffer, wanted))) co_return not_enough_memory_error();
         auto const room = buffer.prepare(wanted);
         auto const [failure, size] = co_await stream.async_read_some(room, use_tuple);
         if (failure == asio::error::eof) co_return parse_end(parser);
