--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -11,18 +11,18 @@
 
 constexpr Microseconds silence_limit = 30 * one_second;
 constexpr auto content_encoding = std::string_view("Content-Encoding");
-constexpr Microseconds past_deadline = 200 * one_millisecond;  // lets an answer in progress complete
+constexpr Microseconds deadline_grace = 200 * one_millisecond;  // lets an answer in progress complete
 
 }  // namespace
 
 // Timeout for the next bytes of a response whose head has arrived.
-auto RelayTry::answer_patience() const -> std::chrono::microseconds {
-    auto const end = output_seen ? until + past_deadline : std::min(until + past_deadline, begin_by);
+auto RelayTry::answer_timeout() const -> std::chrono::microseconds {
+    auto const end = output_seen ? until + deadline_grace : std::min(until + deadline_grace, begin_by);
     return std::chrono::microseconds(std::clamp(end - clock_now(), one_millisecond, silence_limit));
 }
 
 // Records a recall if the replica did not begin its output in time; the timeout has already closed its connection.
-auto RelayTry::note_recall() -> void {
+auto RelayTry::record_recall() -> void {
     auto const now = clock_now();
     if (output_seen || now < begin_by) return;
     reason = "recalled";
@@ -35,7 +35,7 @@
 }
 
 // Called before the output is written to the client, so that a slow client does not count as latency of the replica.
-auto RelayTry::note_output() -> void {
+auto RelayTry::record_output() -> void {
     auto const now = clock_now();
     answer.trace.output_came(now);
     if (output_seen) return;
@@ -48,13 +48,13 @@
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
     auto& parser = *exchange->parser;
     if (parser.is_done()) co_return boost::system::error_code();
-    if (clock_now() >= until + past_deadline) co_return beast::error::timeout;  // even while bytes keep arriving
-    if (connection->buffer.size() == 0) co_await exchange->send_on(until);      // the replica may answer early
-    connection->stream.expires_after(answer_patience());
+    if (clock_now() >= until + deadline_grace) co_return beast::error::timeout;  // even while bytes keep arriving
+    if (connection->buffer.size() == 0) co_await exchange->send_on(until);       // the replica may answer early
+    connection->stream.expires_after(answer_timeout());
     co_return co_await read_some(connection->stream, connection->buffer, parser);
 }
 
-auto RelayTry::pass_pieces(std::string pending) -> awaitable<void> {
+auto RelayTry::relay_pieces(std::string pending) -> awaitable<void> {
     auto& parser = *exchange->parser;
     auto const whole_events = route.stream && answer.chunked;
     while (true) {
@@ -63,7 +63,7 @@
         auto bytes = std::exchange(parser.get().body, std::string());
         if (whole_events && !bytes.empty()) bytes = answer.events.take(bytes);
         if (finished && whole_events) bytes += answer.events.rest;
-        if (!bytes.empty()) note_output();
+        if (!bytes.empty()) record_output();
         if (!bytes.empty() || finished) {
             if (!answer.head_sent)
                 node.measures.first_pieces.of(course.ticket).add(clock_now() - course.ticket.arrived_at);
@@ -85,14 +85,14 @@
         }
         if (!failure) continue;
         reason = answer.head_sent ? "replica-broke" : "replica-broke-before-first-piece";
-        if (failure == beast::error::timeout) note_recall();
+        if (failure == beast::error::timeout) record_recall();
         co_return;
     }
     facts.received = Received::complete;
     give_back();
 }
 
-auto RelayTry::pass_success() -> awaitable<void> {
+auto RelayTry::relay_success() -> awaitable<void> {
     auto& parser = *exchange->parser;
     auto const& message = parser.get();
     auto const empty = without_body(request, message.status);
@@ -120,7 +120,7 @@
         auto const told = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
         pending = head_for_client(message, answer.chunked, told, answer.keep);
     }
-    co_await pass_pieces(std::move(pending));
+    co_await relay_pieces(std::move(pending));
 }
 
 }  // namespace dockrock
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -67,7 +67,7 @@
         case ReplicaExchange::HeadEnd::own_answer: co_return true;
         case ReplicaExchange::HeadEnd::timed_out:
             reason = "deadline";
-            note_recall();
+            record_recall();
             break;
         case ReplicaExchange::HeadEnd::no_answer: reason = "no-answer"; break;
         case ReplicaExchange::HeadEnd::broke: reason = "replica-broke-before-its-answer"; break;
@@ -87,12 +87,12 @@
     node.pool.give_back(course.placement.replica, std::move(connection), clock_now());
 }
 
-auto RelayTry::take_failure() -> awaitable<void> {
+auto RelayTry::read_failure() -> awaitable<void> {
     auto& parser = *exchange->parser;
     auto const& message = parser.get();
     auto const status = message.status;
     auto const says_not_run = message.fields.find(node.form->headers.not_run) != nullptr || status == 421;
-    connection->stream.expires_after(answer_patience());
+    connection->stream.expires_after(answer_timeout());
     parser.limit_stored_body(ReplicaExchange::stored_body_bytes);
     parser.count_in(answer.failure_room.emplace(node.message_memory));
     auto const failure = co_await read_whole(connection->stream, connection->buffer, parser);
@@ -138,8 +138,8 @@
     asked.head_only = request.method() == http::verb::head;
     attempt.exchange.emplace(*attempt.connection, std::move(asked));
     if (!co_await attempt.read_head()) co_return attempt.result();
-    if (attempt.exchange->parser->get().status / 100 == 2) co_await attempt.pass_success();
-    else co_await attempt.take_failure();
+    if (attempt.exchange->parser->get().status / 100 == 2) co_await attempt.relay_success();
+    else co_await attempt.read_failure();
     co_return attempt.result();
 }
 
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -24,18 +24,18 @@
 
     auto connect() -> awaitable<bool>;
     auto read_head() -> awaitable<bool>;
-    auto pass_success() -> awaitable<void>;
-    auto pass_pieces(std::string pending) -> awaitable<void>;
+    auto relay_success() -> awaitable<void>;
+    auto relay_pieces(std::string pending) -> awaitable<void>;
     auto read_pieces() -> awaitable<boost::system::error_code>;
-    auto take_failure() -> awaitable<void>;
-    auto note_output() -> void;
+    auto read_failure() -> awaitable<void>;
+    auto record_output() -> void;
     auto close_when_client_leaves() -> void;
     auto give_back() -> void;
     auto client_left() const -> bool { return session.watch->gone; }
-    auto answer_patience() const -> std::chrono::microseconds;
+    auto answer_timeout() const -> std::chrono::microseconds;
     auto may_be_recalled() const -> bool { return begin_by < until; }
     auto reset_on_close(bool wanted) -> void;
-    auto note_recall() -> void;
+    auto record_recall() -> void;
     auto result() -> TryResult;
 };
 
