--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -17,7 +17,7 @@
 
 // Timeout for the next bytes of a response whose head has arrived.
 auto RelayTry::answer_timeout() const -> std::chrono::microseconds {
-    auto const end = output_seen ? until + deadline_grace : std::min(until + deadline_grace, begin_by);
+    auto const end = output_seen ? deadline + deadline_grace : std::min(deadline + deadline_grace, begin_by);
     return std::chrono::microseconds(std::clamp(end - clock_now(), one_millisecond, silence_limit));
 }
 
@@ -48,8 +48,8 @@
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
     auto& parser = *exchange->parser;
     if (parser.is_done()) co_return boost::system::error_code();
-    if (clock_now() >= until + deadline_grace) co_return beast::error::timeout;  // even while bytes keep arriving
-    if (connection->buffer.size() == 0) co_await exchange->send_on(until);       // the replica may answer early
+    if (clock_now() >= deadline + deadline_grace) co_return beast::error::timeout;  // even while bytes keep arriving
+    if (connection->buffer.size() == 0) co_await exchange->send_on(deadline);       // the replica may answer early
     connection->stream.expires_after(answer_timeout());
     co_return co_await read_some(connection->stream, connection->buffer, parser);
 }
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -62,7 +62,7 @@
 
 auto RelayTry::read_head() -> awaitable<bool> {
     auto const began = clock_now();
-    auto const end = co_await exchange->read_own_head(std::min(until, begin_by));
+    auto const end = co_await exchange->read_own_head(std::min(deadline, begin_by));
     switch (end) {
         case ReplicaExchange::HeadEnd::own_answer: co_return true;
         case ReplicaExchange::HeadEnd::timed_out:
@@ -124,7 +124,7 @@
     }
     auto const now = clock_now();
     auto const limits = node.work_limits_at(course.placement.replica, now);
-    attempt.until = course.ticket.deadline;
+    attempt.deadline = course.ticket.deadline;
     attempt.begin_by = limits.begin_by;
     if (attempt.may_be_recalled()) attempt.reset_on_close(true);
     auto const& form = *node.form;
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -18,7 +18,7 @@
     std::optional<ReplicaExchange> exchange = {};
     TryFacts facts = {};
     std::string reason = {};
-    Microseconds until = 0;                    // the request's deadline
+    Microseconds deadline = 0;                 // the request's deadline
     Microseconds begin_by = WorkLimits::none;  // latest time for the replica's first output
     bool output_seen = false;
 
@@ -33,7 +33,7 @@
     auto give_back() -> void;
     auto client_left() const -> bool { return session.watch->gone; }
     auto answer_timeout() const -> std::chrono::microseconds;
-    auto may_be_recalled() const -> bool { return begin_by < until; }
+    auto may_be_recalled() const -> bool { return begin_by < deadline; }
     auto reset_on_close(bool wanted) -> void;
     auto record_recall() -> void;
     auto result() -> TryResult;
