--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -27,7 +27,7 @@
         auto parser = RequestParser();
         parser.count_in(room);
         if (auto const failure = co_await read_request(limits, parser); failure) {
-            co_await answer_unread(failure);
+            co_await answer_read_error(failure);
             co_return;
         }
         release_buffer(buffer, parser);
@@ -73,7 +73,7 @@
 }
 
 // Answers a request that could not be read completely, if the error leaves a client that can receive the answer.
-auto RelaySession::answer_unread(boost::system::error_code failure) -> awaitable<void> {
+auto RelaySession::answer_read_error(boost::system::error_code failure) -> awaitable<void> {
     auto bad = HttpRequest(http::verb::get, "/", 11);
     bad.keep_alive(false);
     if (failure == boost::system::errc::not_enough_memory) {
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -20,7 +20,7 @@
     bool active = true;
     bool gone = false;
     std::function<void()> on_gone;
-    std::optional<asio::steady_timer> later;  // the next check, while bytes of a pipelined request are unread
+    std::optional<asio::steady_timer> next_check;  // the next check, while bytes of a pipelined request are unread
 };
 
 // What the client has received of its answer so far, possibly from several tries.
@@ -55,7 +55,7 @@
     auto await_request(RequestLimits const& limits) -> awaitable<bool>;
     auto read_request(RequestLimits const& limits, RequestParser& parser) -> awaitable<boost::system::error_code>;
     auto make_body_buffer(RequestParser& parser) -> void;
-    auto answer_unread(boost::system::error_code failure) -> awaitable<void>;
+    auto answer_read_error(boost::system::error_code failure) -> awaitable<void>;
     auto handle(HttpRequest const& request) -> awaitable<bool>;
     auto judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement;
     auto run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool>;
@@ -67,9 +67,9 @@
     auto refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after = std::string())
         -> awaitable<bool>;
     auto begin_watch() -> void;
-    auto watch_on(std::shared_ptr<ClientWatch> state) -> void;
+    auto wait_for_client_event(std::shared_ptr<ClientWatch> state) -> void;
     auto end_watch() -> void;
-    auto look_for_client() -> bool;  // whether it has disconnected; checked right before a request is sent
+    auto check_client_left() -> bool;  // whether it has disconnected; checked right before a request is sent
     auto arrival_of(HttpRequest const& request, Microseconds now) const -> RelayArrival;
     auto write_all(std::string const& bytes) -> awaitable<bool>;
 };
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -57,7 +57,7 @@
         co_return false;
     }
     facts.written = BytesWritten::none;
-    co_return !session.look_for_client();
+    co_return !session.check_client_left();
 }
 
 auto RelayTry::read_head() -> awaitable<bool> {
