--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -89,7 +89,7 @@
     co_return co_await run(request, std::move(judgement));
 }
 
-auto RelaySession::wait_for_place(Course& course) -> awaitable<CourseStep> {
+auto RelaySession::wait_for_placement(Course& course) -> awaitable<CourseStep> {
     auto const number = course.ticket.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
@@ -148,7 +148,7 @@
         switch (step.step) {
             case Step::enter: {
                 auto const entered_at = clock_now();
-                step = co_await wait_for_place(course);
+                step = co_await wait_for_placement(course);
                 answer.trace.waited += clock_now() - entered_at;
                 break;
             }
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -63,7 +63,7 @@
         -> awaitable<TryResult>;
     auto follow(HttpRequest const& request, RelayJudgement judgement, Course& course, RelayAnswer& answer)
         -> awaitable<bool>;
-    auto wait_for_place(Course& course) -> awaitable<CourseStep>;
+    auto wait_for_placement(Course& course) -> awaitable<CourseStep>;
     auto refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after = std::string())
         -> awaitable<bool>;
     auto begin_watch() -> void;
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -36,7 +36,7 @@
     auto interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>>;
     // Waits until the scheduler has placed or shed the request; false if the caller disconnected first.
     auto wait_for_slot(std::shared_ptr<Slot> slot) -> awaitable<bool>;
-    auto enter_buffer(Course& course) -> awaitable<CourseStep>;
+    auto wait_for_placement(Course& course) -> awaitable<CourseStep>;
     auto claim(Course& course) -> awaitable<CourseStep>;
     auto send_try(HttpRequest const& request, Course& course, bool& usable) -> awaitable<CourseStep>;
     auto log_ticket(Ticket const& ticket, char const* event, std::string what, std::string replica) -> void;
--- a/source/connection/ticket_session.cpp
+++ b/source/connection/ticket_session.cpp
@@ -31,7 +31,7 @@
 }
 
 // Queues the request until it is placed or shed.
-auto Session::enter_buffer(Course& course) -> awaitable<CourseStep> {
+auto Session::wait_for_placement(Course& course) -> awaitable<CourseStep> {
     auto const number = course.ticket.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
@@ -117,7 +117,7 @@
         if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
         if (step.release_claim) node.make_claim(course.ticket, true, {});
         switch (step.step) {
-            case Step::enter: step = co_await enter_buffer(course); break;
+            case Step::enter: step = co_await wait_for_placement(course); break;
             case Step::claim: step = co_await claim(course); break;
             case Step::interpret: {
                 auto const facts = node.facts_for(course.placement.replica);
