--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -49,7 +49,7 @@
     auto& parser = *exchange->parser;
     if (parser.is_done()) co_return boost::system::error_code();
     if (clock_now() >= deadline + deadline_grace) co_return beast::error::timeout;  // even while bytes keep arriving
-    if (connection->buffer.size() == 0) co_await exchange->send_on(deadline);       // the replica may answer early
+    if (connection->buffer.size() == 0) co_await exchange->send_more(deadline);     // the replica may answer early
     connection->stream.expires_after(answer_timeout());
     co_return co_await read_some(connection->stream, connection->buffer, parser);
 }
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -69,7 +69,7 @@
             reason = "deadline";
             record_recall();
             break;
-        case ReplicaExchange::HeadEnd::no_answer: reason = "no-answer"; break;
+        case ReplicaExchange::HeadEnd::malformed: reason = "no-answer"; break;
         case ReplicaExchange::HeadEnd::broke: reason = "replica-broke-before-its-answer"; break;
     }
     auto const now = clock_now();
--- a/source/connection/replica_exchange.cpp
+++ b/source/connection/replica_exchange.cpp
@@ -28,7 +28,7 @@
 
 auto head_end_of(boost::system::error_code const& failure) -> ReplicaExchange::HeadEnd {
     if (failure == beast::error::timeout) return ReplicaExchange::HeadEnd::timed_out;
-    return is_malformed(failure) ? ReplicaExchange::HeadEnd::no_answer : ReplicaExchange::HeadEnd::broke;
+    return is_malformed(failure) ? ReplicaExchange::HeadEnd::malformed : ReplicaExchange::HeadEnd::broke;
 }
 
 }  // namespace
@@ -36,11 +36,11 @@
 auto ReplicaExchange::bytes_written() const -> BytesWritten {
     if (written == 0) return BytesWritten::none;
     if (written < request.head.size()) return BytesWritten::part_of_head;
-    return written < whole_size() ? BytesWritten::head : BytesWritten::whole;
+    return written < request_size() ? BytesWritten::head : BytesWritten::whole;
 }
 
 auto ReplicaExchange::reusable() const -> bool {
-    return written == whole_size() && !write_failed && parser && parser->is_done() && !parser->need_eof() &&
+    return written == request_size() && !write_failed && parser && parser->is_done() && !parser->need_eof() &&
         parser->get().keep_alive;
 }
 
@@ -54,11 +54,11 @@
     return failure;
 }
 
-auto ReplicaExchange::send_on(Microseconds until) -> awaitable<void> {
+auto ReplicaExchange::send_more(Microseconds until) -> awaitable<void> {
     auto& socket = connection.stream.socket();
     boost::system::error_code ignored;
     socket.non_blocking(true, ignored);
-    while (!write_failed && written < whole_size()) {
+    while (!write_failed && written < request_size()) {
         if (written > 0 && readable(socket)) co_return;
         if (auto const failure = write_some(); failure == asio::error::would_block) {
             if (clock_now() >= until) co_return;
@@ -89,7 +89,7 @@
 
 auto ReplicaExchange::read_own_head(Microseconds until) -> awaitable<HeadEnd> {
     while (true) {
-        if (connection.buffer.size() == 0) co_await send_on(until);
+        if (connection.buffer.size() == 0) co_await send_more(until);
         if (auto const failure = co_await read_one_head(until); failure) co_return head_end_of(failure);
         if (!is_interim(parser->get().status)) {
             if (is_own()) co_return HeadEnd::own_answer;
--- a/source/connection/replica_exchange.hpp
+++ b/source/connection/replica_exchange.hpp
@@ -18,8 +18,8 @@
 };
 
 struct ReplicaExchange {
-    // Result of reading the head: `no_answer` is malformed input, `broke` a closed or reset connection.
-    enum class HeadEnd : int { own_answer, timed_out, no_answer, broke };
+    // Result of reading the head: `malformed` is invalid HTTP, `broke` a closed or reset connection.
+    enum class HeadEnd : int { own_answer, timed_out, malformed, broke };
     static constexpr auto header_bytes = std::uint32_t{64U << 10U};
     // Limit for bodies that are read completely: of failures, stored for the client, and of responses to other
     // requests.
@@ -34,10 +34,10 @@
 
     ReplicaExchange(ReplicaConnection& given, ExchangeRequest asked) : connection(given), request(std::move(asked)) {}
     // Sends until all bytes are written, input is available, or `until` has passed.
-    auto send_on(Microseconds until) -> awaitable<void>;
+    auto send_more(Microseconds until) -> awaitable<void>;
     // Reads up to the head of the response to this request; `parser` then holds it.
     auto read_own_head(Microseconds until) -> awaitable<HeadEnd>;
-    auto whole_size() const -> std::size_t { return request.head.size() + request.body.size(); }
+    auto request_size() const -> std::size_t { return request.head.size() + request.body.size(); }
     auto bytes_written() const -> BytesWritten;
     // Whether the connection can be reused: the request was sent completely, and its response is complete and has
     // explicit framing.
