--- a/source/connection/losses.hpp
+++ b/source/connection/losses.hpp
@@ -17,10 +17,10 @@
 struct LossesBorne {
     std::atomic<std::size_t> count{0};
     std::atomic<Microseconds> since{0};
-    Microseconds looked_at = 0;
+    Microseconds updated_at = 0;
 
     // Recomputes the tolerance, at most every 200 ms.
-    auto look(Control const& control, Microseconds now) -> void;
+    auto update(Control const& control, Microseconds now) -> void;
 };
 
 }  // namespace dockrock
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -119,7 +119,7 @@
     sight.take(control.news_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
-    losses_bearable.look(control, now);
+    losses_bearable.update(control, now);
     auto const first_heard = form != nullptr && weights_guard.heard != WeightsGuard::heard_by(control);
     if (output.news || first_heard) publish_snapshot();
     take_proof();
