--- a/scripts/check_includes.py
+++ b/scripts/check_includes.py
@@ -1,7 +1,7 @@
 """Checks the layering of includes: a source folder includes only its own files and those of lower layers.
 
-FLOORS lists the layers from the lowest up. The groups of one layer must not include each other; the folders within a
-group may, until they are merged into one folder. WAITING lists the known violations: any other one fails the check,
+LAYERS lists the layers from the lowest up. The groups of one layer must not include each other; the folders within a
+group may, until they are merged into one folder. KNOWN_VIOLATIONS lists exceptions; any other violation fails,
 and so does a listed one that no longer exists. docs/design.md section 2.
 Use: check_includes.py [ROOT]
 """
@@ -10,7 +10,7 @@
 import re
 import sys
 
-FLOORS = (
+LAYERS = (
     (("source/base",),),
     (("source/membership",), ("source/consensus",)),
     (("source/sequence", "source/version"),),  # to be source/configuration
@@ -20,16 +20,16 @@
     (("source/connection", "source/process"),),  # to be source/proxy, and source/node above it
     (("platform",), ("programs",)),
 )
-WAITING = {
+KNOWN_VIOLATIONS = {
     ("source/control/snapshot.hpp", "source/ticket/burden.hpp"),  # the replica list's own text
     ("source/sequence/plan.cpp", "source/control/control.hpp"),  # which partition holds a service
 }
 INCLUDE = re.compile(r'^\s*#\s*include\s+"([^"]+)"', re.MULTILINE)
 
 
-def floor_of(path, floors):
+def layer_of(path, layers):
     """The number of the layer that contains a path, and its group; None for files outside of all layers."""
-    for number, groups in enumerate(floors):
+    for number, groups in enumerate(layers):
         for group in groups:
             if any(path.startswith(folder + "/") for folder in group):
                 return number, group
@@ -55,35 +55,35 @@
                 yield includer, named, resolved(root, includer, named)
 
 
-def judge(root, floors=FLOORS, waiting=frozenset(WAITING)):
+def find_violations(root, layers=LAYERS, known=frozenset(KNOWN_VIOLATIONS)):
     """The violations found, and the number of includes checked."""
-    bad, met, count = [], set(), 0
+    bad, seen, count = [], set(), 0
     for includer, named, included in includes(root):
         count += 1
         if included is None:
             bad.append('%s includes "%s", which is not found' % (includer, named))
             continue
-        below, above = floor_of(included, floors), floor_of(includer.as_posix(), floors)
-        if below is None or above is None:
-            stranger = included if below is None else includer
-            bad.append("%s is in no layer" % stranger)
+        lower, upper = layer_of(included, layers), layer_of(includer.as_posix(), layers)
+        if lower is None or upper is None:
+            outsider = included if lower is None else includer
+            bad.append("%s is in no layer" % outsider)
             continue
-        if below[1] == above[1] or below[0] < above[0]:
+        if lower[1] == upper[1] or lower[0] < upper[0]:
             continue
         pair = (includer.as_posix(), included)
-        met.add(pair)
-        if pair not in waiting:
+        seen.add(pair)
+        if pair not in known:
             bad.append("%s includes %s: a higher layer, or a sibling group" % pair)
-    bad += ["%s no longer includes %s: remove it from the list" % pair for pair in sorted(waiting - met)]
+    bad += ["%s no longer includes %s: remove it from the list" % pair for pair in sorted(known - seen)]
     return sorted(set(bad)), count
 
 
 def main(root):
-    bad, count = judge(root)
+    bad, count = find_violations(root)
     for item in bad:
         print(item)
-    waiting = ", %d known violations" % len(WAITING) if WAITING else ""
-    print("includes: %s (%d checked%s)" % ("layering kept" if not bad else "%d wrong" % len(bad), count, waiting))
+    known = ", %d known violations" % len(KNOWN_VIOLATIONS) if KNOWN_VIOLATIONS else ""
+    print("includes: %s (%d checked%s)" % ("layering kept" if not bad else "%d wrong" % len(bad), count, known))
     return 1 if bad else 0
 
 
--- a/scripts/check_packages.py
+++ b/scripts/check_packages.py
@@ -20,7 +20,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 GENERATOR_TOOLS = {"Unix Makefiles": "make", "Ninja": "ninja"}
 USUAL_GENERATOR = "Unix Makefiles"
-SHELL_WORDS = {"cd", "mkdir", "rm", "set", "export", "true"}
+SHELL_BUILTINS = {"cd", "mkdir", "rm", "set", "export", "true"}
 
 
 def steps(build):
@@ -37,7 +37,7 @@
             given = [words[at + 1] for at, word in enumerate(words) if word == "-G"]
             given += [word[2:] for word in words if word.startswith("-G") and len(word) > 2]
             wanted.add(GENERATOR_TOOLS[given[0] if given else USUAL_GENERATOR])
-    return wanted - SHELL_WORDS
+    return wanted - SHELL_BUILTINS
 
 
 def is_system(path):
@@ -45,7 +45,7 @@
     return path.startswith(("/usr/", "/lib", "/etc/", "/opt/", "/bin/")) and not path.startswith(str(ROOT))
 
 
-def configured(build):
+def configure(build):
     """The Ninja files of a fresh configuration with the options of the build line."""
     words = next(words for words in steps(build) if words[0] == "cmake" and "--build" not in words)
     # Without unity builds: the same sources are compiled one by one, as in the build whose dependencies are read.
@@ -71,15 +71,15 @@
 
 def object_headers(dependencies, objects):
     """The system headers of these objects, from the output of `ninja -t deps`, and the objects missing there."""
-    headers, met, ours = set(), set(), False
+    headers, seen, ours = set(), set(), False
     for line in dependencies.splitlines():
         if line and not line.startswith(" "):
             name = line.split(":")[0]
             ours = name in objects
-            met |= {name} & objects
+            seen |= {name} & objects
         elif ours and is_system(line.strip()):
             headers.add(line.strip())
-    return headers, objects - met
+    return headers, objects - seen
 
 
 def gaps(database, listed, wanted):
@@ -91,10 +91,10 @@
     missing = {system_packages.usual(path) for path in wanted} - present
     owner = database.owners(missing)
     linked = {path for path in missing if path not in owner and os.path.realpath(path) in present}
-    told = ["the package %s is not installed here and cannot be checked" % name for name in absent]
+    problems = ["the package %s is not installed here and cannot be checked" % name for name in absent]
     for path in sorted(missing - linked):
-        told.append("%s is in no listed package; it belongs to %s" % (path, owner.get(path, "no package")))
-    return told
+        problems.append("%s is in no listed package; it belongs to %s" % (path, owner.get(path, "no package")))
+    return problems
 
 
 def read_dependencies(folder):
@@ -105,16 +105,16 @@
 
 def list_faults(listed, more, printed):
     """Checks the package lists: no duplicates, and scripts/packages.sh prints what the files contain."""
-    told = ["%s is in both .ci/packages and deploy/system.toml" % name for name in sorted(set(listed) & set(more))]
+    problems = ["%s is in both .ci/packages and deploy/system.toml" % name for name in sorted(set(listed) & set(more))]
     if printed != listed + more:
-        told.append("scripts/packages.sh prints a different list than the files contain")
-    return told
+        problems.append("scripts/packages.sh prints a different list than the files contain")
+    return problems
 
 
-def judge(deploy, dependencies, database):
+def find_gaps(deploy, dependencies, database):
     """All problems found, and a summary of what was checked."""
     listed, build = deploy["packages"], deploy["build"]
-    plan, named = configured(build), tools(build)
+    plan, named = configure(build), tools(build)
     headers, unknown = object_headers(dependencies, plan_objects(plan))
     files = plan_files(plan)
     bad = ["%s was not compiled in this build folder" % name for name in sorted(unknown)]
@@ -129,7 +129,7 @@
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     more = (ROOT / ".ci" / "packages").read_text().split()
     printed = subprocess.run(["bash", str(ROOT / "scripts" / "packages.sh")], capture_output=True, text=True).stdout
-    bad, seen = judge(deploy, read_dependencies(folder), system_packages.installed())
+    bad, seen = find_gaps(deploy, read_dependencies(folder), system_packages.installed())
     bad += list_faults(deploy["packages"], more, printed.split())
     for item in bad:
         print(item)
--- a/scripts/tidy.py
+++ b/scripts/tidy.py
@@ -16,7 +16,7 @@
 import time
 
 # Known functions over 40 lines, to be split: any other one fails the check, and so does a listed one that is short now.
-WAITING = {
+KNOWN_LONG = {
     "source/control/weights_duty.cpp: step_partition",
 }
 FINDING = re.compile(r"^(/[^:]+):\d+:\d+: (?:error|warning): (.*) \[[^\]]+\]$")
@@ -41,9 +41,9 @@
     return done.stdout, True
 
 
-def judge(printed, waiting=frozenset(WAITING), root=ROOT):
+def parse_findings(printed, known=frozenset(KNOWN_LONG), root=ROOT):
     """The distinct findings in clang-tidy's output, and the known long functions that were found."""
-    bad, met = set(), set()
+    bad, seen = set(), set()
     for line in printed.splitlines():
         found = FINDING.match(line)
         if not found:
@@ -51,11 +51,11 @@
         path = os.path.relpath(found[1], root)
         long = TOO_LONG.match(found[2])
         name = "%s: %s" % (path, long[1]) if long else None
-        if name in waiting:
-            met.add(name)
+        if name in known:
+            seen.add(name)
         else:
             bad.add(line)
-    return bad, met
+    return bad, seen
 
 
 def main(words):
@@ -69,16 +69,16 @@
     with tempfile.TemporaryDirectory() as folder:
         configure(folder)
         with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-            told = list(pool.map(lambda path: run(path, folder, options.limit), files))
-    bad, met = judge("\n".join(printed for printed, _ in told))
-    bad |= {"%s: timed out" % path for path, (_, ended) in zip(files, told) if not ended}
-    looked_at = tuple(str(folder) + "/" for folder in options.folders)
-    bad |= {"%s is short now: remove it from the list" % name for name in WAITING - met if name.startswith(looked_at)}
+            results = list(pool.map(lambda path: run(path, folder, options.limit), files))
+    bad, seen = parse_findings("\n".join(printed for printed, _ in results))
+    bad |= {"%s: timed out" % path for path, (_, ended) in zip(files, results) if not ended}
+    checked = tuple(str(folder) + "/" for folder in options.folders)
+    bad |= {"%s is short now: remove it from the list" % name for name in KNOWN_LONG - seen if name.startswith(checked)}
     for item in sorted(bad):
         print(item)
     state = "clean" if not bad else "%d findings" % len(bad)
     seconds = time.monotonic() - began
-    print("clang-tidy: %s (%d files in %.0f s, %d known long functions)" % (state, len(files), seconds, len(met)))
+    print("clang-tidy: %s (%d files in %.0f s, %d known long functions)" % (state, len(files), seconds, len(seen)))
     return 1 if bad or not files else 0
 
 
--- a/tests/packages_test.py
+++ b/tests/packages_test.py
@@ -66,11 +66,11 @@
     """Removes packages that were or could be forgotten: a header, a tool, a library's CMake files, the compiler."""
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     dependencies, database = check_packages.read_dependencies(folder), system_packages.installed()
-    assert check_packages.judge(deploy, dependencies, database)[0] == []
+    assert check_packages.find_gaps(deploy, dependencies, database)[0] == []
     for package in ("nlohmann-json3-dev", "make", "libnng-dev", "libtclap-dev", "g++"):
         kept = [name for name in deploy["packages"] if name != package]
         assert len(kept) < len(deploy["packages"]), package
-        told = check_packages.judge(dict(deploy, packages=kept), dependencies, database)[0]
+        told = check_packages.find_gaps(dict(deploy, packages=kept), dependencies, database)[0]
         assert told, "the missing package %s was not noticed" % package
         print("planted gap %s: %d files missed" % (package, len(told)))
 
