--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -20,7 +20,8 @@
     bool active = true;
     bool gone = false;
     std::function<void()> on_gone;
-    std::optional<asio::steady_timer> next_check;  // the next check, while bytes of a pipelined request are unread
+    std::optional<asio::steady_timer>
+        next_check;  // polls while unread bytes of a pipelined request make the socket readable
 };
 
 // What the client has received of its answer so far, possibly from several tries.
--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -18,7 +18,7 @@
     std::optional<ReplicaExchange> exchange = {};
     TryFacts facts = {};
     std::string reason = {};
-    Microseconds deadline = 0;                 // the request's deadline
+    Microseconds deadline = 0;
     Microseconds begin_by = WorkLimits::none;  // latest time for the replica's first output
     bool output_seen = false;
 
