--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -20,8 +20,7 @@
     bool active = true;
     bool gone = false;
     std::function<void()> on_gone;
-    std::optional<asio::steady_timer>
-        next_check;  // polls while unread bytes of a pipelined request make the socket readable
+    std::optional<asio::steady_timer> next_check;  // polls while pipelined bytes are unread
 };
 
 // What the client has received of its answer so far, possibly from several tries.
