--- a/tests/answer_grammar.hpp
+++ b/tests/answer_grammar.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The head of an answer as a strict client reads it: RFC 9112, sections 4 to 6, and RFC 9110, section 15. It shares no
-// code with the product or with the HTTP library, so that what both let through is seen.
+// Checks a response head as a strict client does: RFC 9112, sections 4 to 6, and RFC 9110, section 15. It shares no
+// code with the product or with Beast, so that it finds errors that both accept.
 #include <algorithm>
 #include <cctype>
 #include <optional>
@@ -47,7 +47,7 @@
     return rest[0] >= '1' && rest[0] <= '5' && is_digit(rest[1]) && is_digit(rest[2]);
 }
 
-// What the field lines say of where the body ends.
+// What the field lines say about the length of the body.
 struct Framing {
     int lengths = 0, codings = 0;
     std::string fault;
@@ -71,7 +71,7 @@
 
 }  // namespace grammar
 
-// What is wrong with a head, its empty line left out; empty where nothing is.
+// What is wrong with a head, given without its final empty line; empty if it is valid.
 inline auto fault_of_head(std::string_view head) -> std::string {
     using namespace grammar;
     auto const line_end = std::min(head.find("\r\n"), head.size());
@@ -92,7 +92,7 @@
     return framing.judge(status_line.substr(9, 3));
 }
 
-// The status of the first answer in what a client got; nothing where that is not a whole head by the grammar.
+// The status of the first response in the bytes a client received; nothing if its head is incomplete or invalid.
 inline auto strict_status(std::string_view bytes) -> std::optional<int> {
     auto const end = bytes.find("\r\n\r\n");
     if (end == std::string_view::npos || !fault_of_head(bytes.substr(0, end)).empty()) return std::nullopt;
--- a/tests/answer_grammar_test.cpp
+++ b/tests/answer_grammar_test.cpp
@@ -1,11 +1,11 @@
-// Every part of an answer by the grammar of HTTP: status line, fields, framing, bodies, a second head in one answer.
+// Replica responses against the HTTP grammar: status line, fields, framing, bodies, a second head in one response.
 // docs/requests.md section 3.
 #include "broken_answer_helpers.hpp"
 
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("the statuses at the bounds of the grammar are answers") {
+TEST_CASE("the lowest and highest valid statuses are accepted") {
     auto const failed = seen_after(head_of("599", "Content-Length: 19\r\n") + body_mark);
     CHECK(failed.status == 599);
     CHECK(failed.bytes.ends_with(body_mark));
@@ -14,7 +14,7 @@
     CHECK(served.bytes.ends_with(body_mark));
 }
 
-TEST_CASE("a length that is told twice, or beside chunks, or odd, is no answer") {
+TEST_CASE("a response with repeated, conflicting or invalid lengths is malformed") {
     for (auto const* fields :
          {"Content-Length: 19\r\nContent-Length: 4\r\n", "Content-Length: 19\r\nTransfer-Encoding: chunked\r\n",
           "Transfer-Encoding: chunked\r\nContent-Length: 19\r\n", "Content-Length: 19, 4\r\n", "Content-Length: -1\r\n",
@@ -24,7 +24,7 @@
     }
 }
 
-TEST_CASE("an answer with a field, a reason or a version that the grammar does not have is no answer") {
+TEST_CASE("a response with an invalid field, reason phrase or version is malformed") {
     auto const zero = std::string(1, '\0');
     for (auto const* status : {"200", "500", "503"}) {
         for (auto const& line : std::vector<std::string>{
@@ -71,14 +71,14 @@
     }
 }
 
-TEST_CASE("a folded line goes on as one line") {
+TEST_CASE("a folded field line is relayed as one line") {
     auto const seen = seen_after(head_of("200", "X: a\r\n\tY: b\r\nContent-Length: 19\r\n") + body_mark);
     INFO(seen.bytes);
     CHECK(seen.status == 200);
     CHECK(seen.bytes.ends_with(body_mark));
 }
 
-TEST_CASE("an answer whose chunks or trailers break off the grammar never looks whole") {
+TEST_CASE("a response with malformed chunks or trailers never looks complete") {
     for (auto const* end : {"zz\r\n", "13\r\nbody-of-the-replicaXX", "0\r\nX Y: 1\r\n\r\n", "0\r\nX\x01: 1\r\n\r\n"}) {
         INFO(end);
         auto const seen = seen_after(head_of("200", "Transfer-Encoding: chunked\r\n") + "4\r\ntext\r\n" + end);
@@ -89,7 +89,7 @@
     }
 }
 
-TEST_CASE("a body where the grammar has none reaches nobody, and its connection is not used again") {
+TEST_CASE("a body on a response that must not have one is dropped, and its connection is not reused") {
     for (auto const* status : {"204", "304"}) {
         auto const seen = seen_after(head_of(status, "Content-Length: 19\r\n") + body_mark);
         INFO(seen.bytes);
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("a stream that goes on at a replica without an answer is cut, and no second head goes out") {
+TEST_CASE("a stream whose next try gets a malformed response is cut, and no second head is sent") {
     for (auto const& head :
          {head_of("000", "Transfer-Encoding: chunked\r\n"), head_of("200", "Transfer-Encoding: gzip, chunked\r\n"),
           head_of("200", "X Y: 1\r\nTransfer-Encoding: chunked\r\n")}) {
--- a/tests/call_answer_test.cpp
+++ b/tests/call_answer_test.cpp
@@ -1,5 +1,5 @@
-// Answers to calls of the node itself (platform list, reports, events, orders, the application's forwarding) and to the
-// product's own runs: what is no answer by the grammar counts as none, and heads of interim answers are not the answer.
+// Responses to the node's own calls (platform list, reports, events, orders, forwarding to the application) and to runs
+// on the product's own protocol: a malformed response counts as none, and interim responses are skipped.
 // docs/requests.md section 3.
 #include <catch2/catch.hpp>
 
@@ -21,7 +21,7 @@
     return head_of(status, more) + body;
 }
 
-// Says each of these after a request on one connection, one after the other.
+// Sends these responses in turn, one per request on a connection.
 auto answering_with(std::vector<std::string> texts) -> Script {
     return [texts](Peer& peer) -> awaitable<void> {
         for (auto const& text : texts) {
@@ -51,7 +51,7 @@
 
 struct Called {
     HttpAnswer answer;
-    bool kept = false;  // the connection, for the next call
+    bool kept = false;  // the connection stays open for the next call
 };
 
 auto called(std::string const& text, Microseconds limit = 300 * one_millisecond) -> Called {
@@ -62,7 +62,7 @@
     return {std::move(answer), connection.open};
 }
 
-// One run of the product's own wire against a replica that answers with `text`.
+// A run on the product's own protocol, on a replica that answers with `text`.
 auto run_against(std::string const& text) -> TryResult {
     auto wire = Wire(answering_with({text}));
     auto caller = tcp::socket(wire.context);
@@ -72,7 +72,7 @@
     return outcome_of(wire.context, run_try(session, course, true));
 }
 
-// What the client of a forwarded call gets when the application answers with `text`.
+// What the client of a forwarded request receives when the application answers with `text`.
 auto forwarded(std::string const& text) -> std::string {
     auto wire = Wire(answering_with({text}));
     auto caller = tcp::socket(wire.context);
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("a call that is answered by no answer has none, and its connection is closed") {
+TEST_CASE("a call with a malformed response has no answer, and its connection is closed") {
     for (auto const& text : broken_answers) {
         INFO(text);
         auto const seen = called(text);
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("the answer to a call is the one behind its interim answers") {
+TEST_CASE("the answer to a call is the final response after interim ones") {
     auto const seen = called(std::string(early_hints) + early_hints + answer_of("200"));
     CHECK(seen.answer.status == 200);
     CHECK(seen.answer.body == body);
@@ -118,7 +118,7 @@
     CHECK(called(early_hints).answer.end == CallEnd::no_answer);
 }
 
-TEST_CASE("a call whose interim answers go on and on ends at its limit") {
+TEST_CASE("a call with endless interim responses ends at its limit") {
     auto wire = Wire([](Peer& peer) -> awaitable<void> {
         co_await peer.until("\r\n\r\n");
         auto const end = clock_now() + 2 * one_second;
@@ -133,7 +133,7 @@
     CHECK(clock_now() - began < one_second);
 }
 
-TEST_CASE("a replica's run that is answered by no answer is not known to have run or not") {
+TEST_CASE("a run with a malformed response may have run or not") {
     auto texts = broken_answers;
     texts.push_back(head_of("409", "Transfer-Encoding: chunked\r\n") + "d\r\n{\"ran\":false}\r\nzz\r\n");
     for (auto const& text : texts) {
@@ -144,7 +144,7 @@
     CHECK(run_against(refusal).end == TryEnd::did_not_run);
 }
 
-TEST_CASE("a replica's run is answered behind its interim answers") {
+TEST_CASE("a run is answered by the final response after interim ones") {
     auto const pieces = std::string("{\"piece\":0}\n{\"pieces\":1}\n");
     auto const text =
         early_hints + head_of("200", "Content-Length: " + std::to_string(pieces.size()) + "\r\n") + pieces;
@@ -154,7 +154,7 @@
         TryEnd::did_not_run);
 }
 
-TEST_CASE("what is no answer of the application reaches no client") {
+TEST_CASE("a malformed response of the application is not forwarded to the client") {
     for (auto const& text : broken_answers) {
         INFO(text);
         CHECK(forwarded(text).starts_with("HTTP/1.1 502 "));
--- a/tests/kept_connection_test.cpp
+++ b/tests/kept_connection_test.cpp
@@ -1,4 +1,4 @@
-// Connections that clients keep: a request that a replica was given is answered, whatever else happens to the
+// Persistent client connections: a request that was sent to a replica is answered, whatever else happens to the
 // connection meanwhile. docs/users-rules.md, LOST.
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("a kept connection has an answer to every request, also to those sent early") {
+TEST_CASE("every request on a persistent connection is answered, also pipelined ones") {
     auto requests = 0;
     auto session = SessionWire(answering(requests));
     for (auto number = 0; number < 20; ++number) {
@@ -21,7 +21,7 @@
     CHECK_FALSE(session.session_over);
 }
 
-TEST_CASE("a connection that rested up to four fifths of the limit serves on") {
+TEST_CASE("a connection idle for up to four fifths of the limit stays usable") {
     auto requests = 0;
     auto session = SessionWire(answering(requests), Kind{.idle = one_second});
     for (auto number = 0; number < 3; ++number) {
@@ -32,7 +32,7 @@
     CHECK(requests == 3);
 }
 
-TEST_CASE("a request that meets the end of a rest is answered, or reaches no replica") {
+TEST_CASE("a request that arrives when the idle limit ends is answered, or reaches no replica") {
     auto answered = 0;
     auto closed = 0;
     for (auto offset : {-300, -100, -6, -5, -4, -3, -2, -1, 0, 1, 2, 3, 4, 5, 6, 100}) {
@@ -56,7 +56,7 @@
     CHECK(closed > 0);
 }
 
-TEST_CASE("a node that stops answers what it has taken, says that it closes, and refuses the rest unsent") {
+TEST_CASE("a stopping node answers the requests it has accepted, announces the close, and refuses the rest unsent") {
     auto requests = 0;
     auto session = SessionWire([&](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
@@ -74,7 +74,7 @@
     CHECK(session.run_until([&] { return session.session_over; }));
 }
 
-TEST_CASE("a stopping node takes a request from a connection that rested, and after its entry refuses with 503") {
+TEST_CASE("a stopping node accepts a request on an idle connection, and refuses with 503 after its admission ends") {
     auto requests = 0;
     for (auto late : {false, true}) {
         auto session = SessionWire(answering(requests));
@@ -90,7 +90,7 @@
     CHECK(requests == 3);
 }
 
-TEST_CASE("a silent replica: the client has a final answer at its route's limit, and its connection serves on") {
+TEST_CASE("with a silent replica the client gets a final answer at its route's limit and keeps its connection") {
     for (auto repeatable : {false, true}) {
         auto silent = true;
         auto session = SessionWire(
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("an answer that hangs after it began ends soon after the route's limit, whatever it is") {
+TEST_CASE("an answer that stalls midway is cut off soon after the route's limit, whatever its framing") {
     auto const failure = std::string("HTTP/1.1 500 No\r\nRequest-Name: id-1\r\nStamp: s\r\nContent-Length: 9\r\n\r\n");
     auto const events =
         std::string("HTTP/1.1 200 OK\r\nRequest-Name: id-1\r\nStamp: s\r\nTransfer-Encoding: chunked\r\n\r\n") +
@@ -142,14 +142,15 @@
         });
         CHECK(ended);
         CHECK(clock_now() - began < 900 * one_millisecond);
-        CHECK(session.answers("0\r\n\r\n") == 0);  // never as if it were whole
+        CHECK(session.answers("0\r\n\r\n") == 0);  // never completed as if it were whole
     }
 }
 
-TEST_CASE("no place to be had: the client is refused by its route's limit") {
+TEST_CASE("without a free slot the client is refused by its route's limit") {
     auto requests = 0;
     auto session = SessionWire(answering(requests), Kind{.timeout = 400 * one_millisecond});
-    session.wire.node->table.granting.burden.take_weights("life-1", "", true);  // it loads; nothing is sent there
+    session.wire.node->table.granting.burden.take_weights(
+        "life-1", "", true);  // loading weights: nothing is sent there
     auto const began = clock_now();
     session.say(post("first"));
     CHECK(session.hear("503 Service Unavailable"));
--- a/tests/relay_heads_test.cpp
+++ b/tests/relay_heads_test.cpp
@@ -1,4 +1,4 @@
-// What of a client's head reaches a replica, and under which names. docs/users-rules.md, UNASKED.
+// Which fields of a client's head reach a replica, and under which names. docs/users-rules.md, UNASKED.
 #include <catch2/catch.hpp>
 
 #include "connection/message_parser.hpp"
@@ -33,7 +33,7 @@
     return head_for_replica(form, request, judged, course, -1, 3 * one_second - read_before);
 }
 
-// The salt that one request with a shared prompt bears, where its replica's weights are these.
+// The salt sent with a request with a shared prompt to a replica with these weights.
 auto salt_line(std::string const& name, std::string const& wall, std::string const& weights) -> std::string {
     auto request = HttpRequest(http::verb::post, "/a", 11);
     request.set("Request-Name", name);
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("what names the work passes as the client sent it, also twice, in odd case and with spaces") {
+TEST_CASE("end-to-end fields are relayed as the client sent them, also repeated, in odd case and with spaces") {
     auto const lines = std::string(
         "MODEL:  m-1 \r\ntokens: 14 , 8\r\nPrefix-Hash: 5c:800, 91:410\r\nprefix-hash: e4:250\r\n"
         "X-Twice: 1\r\nX-Twice: 2\r\nX-Empty:\r\nRequest-name: id-2\r\n");
@@ -73,7 +73,7 @@
         CHECK(count(head, line) == 1);
 }
 
-TEST_CASE("what the fleet sets is never the client's, however often and however it is written") {
+TEST_CASE("fields that the router sets are never taken from the client, however often and in whatever case") {
     auto lines = std::string();
     for (auto const* name :
          {"Secret", "Group", "Left", "Salt", "After", "Haste", "Life", "Weights", "Fetch", "Store"}) {
@@ -91,7 +91,7 @@
     CHECK(count(head_of(lines, false), "Group") == 0);  // no tenant, no name of one
 }
 
-TEST_CASE("what concerns one connection stays there, whatever lists it") {
+TEST_CASE("hop-by-hop fields are not relayed, whatever lists them") {
     auto const head = head_of(
         "Connection: keep-alive, X-One\r\nconnection: X-Two ,x-three\r\nX-One: dropped\r\nX-TWO: dropped\r\n"
         "X-Three: dropped\r\nTE: trailers\r\nKeep-Alive: timeout=5\r\nUpgrade: x\r\nProxy-Connection: x\r\nX-Four: "
@@ -102,7 +102,7 @@
     CHECK(count(head, "X-Four: kept\r\n") == 1);
 }
 
-TEST_CASE("a head that could be read in two ways is not read at all") {
+TEST_CASE("an ambiguous head is rejected") {
     for (auto const* line :
          {"Model : m-1\r\n", "Mo del: m-1\r\n", ": m-1\r\n", "Model\r\n",
           "Model: a\x01"
@@ -113,13 +113,13 @@
     }
 }
 
-TEST_CASE("a replica is told the time that is left, counted down, and never none") {
+TEST_CASE("a replica is sent the remaining time, rounded down, and at least 1 ms") {
     CHECK(count(head_of("", true, 1'500 * one_millisecond), "Left: 1500\r\n") == 1);
     CHECK(count(head_of("", true, 2'999'500), "Left: 1\r\n") == 1);  // half a millisecond
     CHECK(count(head_of("", true, 5 * one_second), "Left: 1\r\n") == 1);
 }
 
-TEST_CASE("a prompt is shared under known weights within one wall alone, and under unknown ones with nobody") {
+TEST_CASE("the cache salt shares prompts only within one isolation domain, and under unknown weights with no request") {
     CHECK(salt_line("id-1", "", "2") == salt_line("id-2", "", "2"));
     CHECK(salt_line("id-1", "clerks", "2") == salt_line("id-2", "clerks", "2"));
     CHECK(salt_line("id-1", "clerks", "2") != salt_line("id-1", "", "2"));
--- a/tests/replica_connections_test.cpp
+++ b/tests/replica_connections_test.cpp
@@ -1,4 +1,4 @@
-// How long a connection to a replica is kept, by what the replica says of it. docs/requests.md section 2.
+// How long an idle connection to a replica is kept, according to the replica's headers. docs/requests.md section 2.
 #include <catch2/catch.hpp>
 
 #include "request_wire_helpers.hpp"
@@ -6,7 +6,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("a connection is kept for less than its replica says, and not at all where it says that it closes") {
+TEST_CASE("a connection is kept for less than its Keep-Alive timeout, and not at all after Connection: close") {
     struct Case {
         std::string said;
         std::size_t kept;
--- a/tests/request_wire_helpers.hpp
+++ b/tests/request_wire_helpers.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// A relaying session between a client and a replica that follows a script, all
-// on real sockets of one thread.
+// A relay session between a client and a scripted replica, on real sockets in one thread.
 #include "connection/relay_session.hpp"
 #include "connection/replica_pool.hpp"
 #include "process/clock.hpp"
@@ -8,11 +7,11 @@
 
 namespace dockrock::testing {
 
-struct Peer {  // the replica's end of one connection
+struct Peer {  // the replica's side of one connection
     tcp::socket socket;
     std::string read;
     int number = 0;                                    // of the connection
-    auto until(std::string what) -> awaitable<bool> {  // reads on until all came that is named
+    auto until(std::string what) -> awaitable<bool> {  // reads until `what` has arrived
         auto from = std::size_t{0};
         while (read.find(what, from) == std::string::npos) {
             from = read.size() - std::min(read.size(), what.size());
@@ -42,7 +41,7 @@
     std::shared_ptr<ServiceRules const> rules;
     Script script;
     int accepted = 0;
-    std::string last_read;  // of the connection that ended last
+    std::string last_read;  // all input of the connection that ended last
     Microseconds limit = 3 * one_second;
 
     explicit Wire(Script given) : script(std::move(given)) {
@@ -90,7 +89,7 @@
         arrival.now = clock_now();
         return judge_relayed(rules, arrival);
     }
-    // What the node knows right before it writes: the replica is listed, and the proof is of now.
+    // Sets the state that the checks before sending read: the replica is listed, and the proof is fresh.
     auto know(bool drain) -> void {
         auto fresh = std::make_shared<Snapshot>();
         fresh->rules = std::make_shared<Rules>();
@@ -119,7 +118,7 @@
         while (!done) context.run_one();
         return result;
     }
-    // A first try of a new request.
+    // The first try of a new request.
     auto ask(std::string name = "id-1", bool stream = false, std::size_t body = 4) -> TryResult {
         auto const verdict = judged(false, stream);
         auto course = course_of(verdict);
@@ -155,7 +154,7 @@
         "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Reads one small request, then says something and goes on as told.
+// Reads one small request, then sends the given text and proceeds as given.
 inline auto saying(std::string text, bool reset = false, bool close = true) -> Script {
     return [text, reset, close](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
--- a/tests/request_wire_test.cpp
+++ b/tests/request_wire_test.cpp
@@ -1,4 +1,4 @@
-// One try on real sockets, against replicas that do what docs/requests.md lists.
+// Single tries on real sockets, against replicas that misbehave in the ways that docs/requests.md lists.
 #include <catch2/catch.hpp>
 
 #include "request_wire_helpers.hpp"
@@ -6,7 +6,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("what a replica does to a request decides its end, and its connection serves again only after a whole one") {
+TEST_CASE("each replica behaviour gives its try result, and a connection is reused only after a complete answer") {
     struct Case {
         char const* event;
         Script script;
@@ -38,11 +38,11 @@
         auto wire = Wire(item.script);
         CHECK(wire.ask().end == item.end);
         CHECK(wire.pooled() == item.pooled);
-        CHECK_FALSE(wire.session->watch->on_gone);  // a client that leaves now closes nobody else's connection
+        CHECK_FALSE(wire.session->watch->on_gone);  // a client that disconnects now must not close a pooled connection
     }
 }
 
-TEST_CASE("a late second answer on a reused connection reaches nobody") {
+TEST_CASE("a late second answer on a reused connection is discarded") {
     auto wire = Wire([](Peer& peer) -> awaitable<void> {
         co_await peer.until("id-1");
         co_await peer.say(answer_text("id-1", "first"));
@@ -60,14 +60,14 @@
     CHECK(seen.find("second") != std::string::npos);
 }
 
-TEST_CASE("a request that comes to a replica again uses a connection that never carried it") {
+TEST_CASE("a request that is sent to a replica again uses a new connection") {
     auto const turned_away = answer_text("id-1", "", "503 No", "Untouched: 1\r\n");
     auto wire = Wire([turned_away](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
         auto text = turned_away;
         if (peer.number > 1) text = answer_text("id-1", "text");
         co_await peer.say(text);
-        co_await peer.until("bbbbPOST");  // a second one here would be told the first one's fate
+        co_await peer.until("bbbbPOST");  // a second try on this connection would get the first one's answer
         co_await peer.say(turned_away);
         co_await peer.until("never");
     });
@@ -81,7 +81,7 @@
     CHECK(wire.accepted == 2);
 }
 
-TEST_CASE("an answer that comes before a long body is in: taken at once, and nothing else follows the body") {
+TEST_CASE("an answer that arrives before a long body is sent is taken at once, and the connection is not reused") {
     constexpr auto long_body = std::size_t{24U << 20U};
     for (auto reset : {false, true}) {
         auto wire = Wire([reset](Peer& peer) -> awaitable<void> {
@@ -93,13 +93,14 @@
         CHECK(wire.ask("id-1", false, long_body).end == TryEnd::did_not_run);
         CHECK(wire.pooled() == 0);
         wire.context.restart();
-        while (!reset && wire.last_read.empty()) wire.context.run_one();  // it reads on, until the end
+        while (!reset && wire.last_read.empty())
+            wire.context.run_one();  // the replica reads on until the connection ends
         CHECK(wire.last_read.find("id-2") == std::string::npos);
         CHECK(wire.last_read.size() < long_body);
     }
 }
 
-TEST_CASE("a long body goes out whole beside a late answer to another request, and beside an early success") {
+TEST_CASE("a long body is sent completely despite a late answer to another request, and despite an early success") {
     constexpr auto long_body = std::size_t{12U << 20U};
     auto const begun = std::string("HTTP/1.1 200 OK\r\nRequest-Name: id-1\r\nStamp: s\r\nContent-Length: 4\r\n\r\nte");
     for (auto early : {false, true}) {
@@ -129,12 +130,12 @@
         if (peer.number == 2) co_await peer.until("never");
     });
     REQUIRE(wire.ask("id-1").end == TryEnd::answered);
-    while (wire.last_read.empty()) wire.context.run_one();  // closed now
+    while (wire.last_read.empty()) wire.context.run_one();  // until the replica has closed it
     CHECK(wire.ask("id-2").end == TryEnd::answered);
     CHECK(wire.accepted == 2);
 }
 
-TEST_CASE("a connection that was forgotten without notice shortens the rest of all others for a while") {
+TEST_CASE("a connection that the replica side dropped silently lowers the idle limit of all others for a while") {
     auto wire = Wire([](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
         co_await peer.say(answer_text("id-1", "text"));
@@ -144,7 +145,7 @@
     REQUIRE(wire.ask("id-1").end == TryEnd::answered);
     auto& pool = wire.node->pool;
     pool.idle["life-1"].front()->idle_since -= one_second;
-    CHECK(wire.ask("id-2").end == TryEnd::unknown_before);  // it may have run
+    CHECK(wire.ask("id-2").end == TryEnd::unknown_before);  // the request may have run
     CHECK(pool.learned_idle_limit > 400 * one_millisecond);
     CHECK(pool.learned_idle_limit < 600 * one_millisecond);
     REQUIRE(wire.ask("id-1").end == TryEnd::answered);
@@ -159,9 +160,9 @@
     CHECK(pool.learned_idle_limit == 5 * one_second);
 }
 
-TEST_CASE("an answer under way ends soon after the deadline, and a silence ends with it") {
+TEST_CASE("an answer in progress is cut off soon after the deadline, also when the replica is silent") {
     auto const whole = answer_text("id-1", "text");
-    auto const begun = whole.substr(0, whole.size() - 4);  // its head
+    auto const begun = whole.substr(0, whole.size() - 4);  // the head
     for (auto const& said : {std::string(), begun, begun + "te"}) {
         auto wire = Wire(saying(said, false, false));
         wire.limit = 30 * one_millisecond;
@@ -172,7 +173,7 @@
     }
 }
 
-TEST_CASE("an answer without a body has none at its client") {
+TEST_CASE("an answer without a body is relayed without one") {
     for (auto head : {false, true}) {
         auto const method = head ? http::verb::head : http::verb::post;
         auto const text =
@@ -192,7 +193,7 @@
     }
 }
 
-TEST_CASE("a kept connection for calls never takes what came before the call for its answer") {
+TEST_CASE("a persistent connection for calls never takes bytes received before the call as its answer") {
     auto wire = Wire([](Peer& peer) -> awaitable<void> {
         co_await peer.until("/one");
         co_await peer.say(answer_text("", "one") + answer_text("", "stale"));
@@ -217,7 +218,7 @@
     CHECK(wire.accepted == 2);
 }
 
-TEST_CASE("a client that leaves is noticed, also behind a next request that it sent early") {
+TEST_CASE("a client's disconnect is detected, also behind a pipelined request") {
     for (auto const* early : {"", "GET /next"}) {
         auto wire = Wire(saying("", false, false));
         wire.session->begin_watch();
@@ -233,7 +234,7 @@
     }
 }
 
-TEST_CASE("a replica that leaves while its connection is opened gets nothing, and another try may follow") {
+TEST_CASE("a replica that is drained while its connection is opened is sent nothing, and another try may follow") {
     auto wire = Wire(saying(answer_text("id-1", "whole")));
     auto const verdict = wire.judged(false, false);
     auto course = wire.course_of(verdict);
