--- a/tests/broken_answer_helpers.hpp
+++ b/tests/broken_answer_helpers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A client of a relaying session whose replica gives a broken answer, and what a strict client sees of it.
+// A relay session whose replica sends a broken response, and what a strict client receives.
 #include <catch2/catch.hpp>
 
 #include "answer_grammar.hpp"
@@ -26,7 +26,7 @@
     {"in chunks", "Transfer-Encoding: chunked\r\n", "13\r\n" + std::string(body_mark) + "\r\n0\r\n\r\n"},
     {"to the end", "", body_mark, true}};
 
-// The first request is answered by this text; all others as they should be, on whatever connection.
+// Answers the first request with this text and all others correctly, on any connection.
 inline auto spoiling_first(std::string text, bool closes, int& requests) -> Script {
     return [text, closes, &requests](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("bbbb")) {
@@ -42,13 +42,13 @@
 }
 
 struct Seen {
-    std::optional<int> status;  // by the grammar; nothing: no answer, or none in the protocol
+    std::optional<int> status;  // nothing: no response, or a malformed one
     std::string bytes;
-    int requests = 0;  // that came to replicas
+    int requests = 0;  // received by replicas
     std::size_t pooled = 0;
 };
 
-// What a client of one request gets when its replica answers with `text` first.
+// What the client of one request receives when the first response of its replica is `text`.
 inline auto seen_after(std::string const& text, bool closes = false, bool repeatable = false) -> Seen {
     auto seen = Seen();
     auto session =
@@ -66,7 +66,7 @@
     return seen;
 }
 
-// A replica that may have run the request and gave no answer: nothing of it reaches the client, nothing is promised.
+// Checks the outcome after a malformed response: the request may have run, and no byte of the response is relayed.
 inline auto check_no_answer(std::string const& text, bool closes = false) -> void {
     auto const seen = seen_after(text, closes);
     INFO(seen.bytes);
--- a/tests/broken_answer_test.cpp
+++ b/tests/broken_answer_test.cpp
@@ -1,11 +1,11 @@
-// Answers that are none by the grammar of HTTP: they reach no client, promise nothing, and end their connection.
-// docs/requests.md section 3.
+// Malformed replica responses: they are not relayed, do not prove that the request did not run, and end their
+// connection. docs/requests.md section 3.
 #include "broken_answer_helpers.hpp"
 
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("an answer whose status is none of 100 to 599 is no answer, however it is framed") {
+TEST_CASE("a response with a status outside of 100 to 599 is malformed, whatever its framing") {
     for (auto const* status : {"000", "001", "099", "600", "700", "999"})
         for (auto const& framed : framings) {
             INFO(status << " " << framed.how);
@@ -13,16 +13,16 @@
         }
 }
 
-TEST_CASE("what is no answer promises nothing: its request goes to no other replica and is not called refused") {
+TEST_CASE("a malformed response never means that the request did not run: no other try, and no refusal") {
     for (auto const* status : {"000", "099", "600"})
         check_no_answer(head_of(status, "Untouched: 1\r\nContent-Length: 0\r\n"));
 }
 
-TEST_CASE("an answer of no status to another request ends the connection, and its request with it") {
+TEST_CASE("a malformed response to another request ends the connection and the try on it") {
     check_no_answer(head_of("000", "Content-Length: 0\r\n", "id-0") + answer_text("id-1", body_mark));
 }
 
-TEST_CASE("a request that may be repeated is served by another try after what was no answer") {
+TEST_CASE("a repeatable request is served by another try after a malformed response") {
     auto const seen = seen_after(head_of("000", "Content-Length: 19\r\n") + body_mark, false, true);
     INFO(seen.bytes);
     CHECK(seen.status == 200);
@@ -30,9 +30,9 @@
     CHECK(seen.requests == 2);
 }
 
-// By an unknown coding nobody can tell where a body ends, nor what it is once the coding's own field is dropped.
+// With an unknown coding the end of the body is unknown, and without the Transfer-Encoding field its content as well.
 
-TEST_CASE("an answer in a transfer coding other than chunked is no answer") {
+TEST_CASE("a response with a transfer coding other than chunked is malformed") {
     auto const chunks = "13\r\n" + std::string(body_mark) + "\r\n0\r\n\r\n";
     for (auto const* status : {"200", "500"})
         for (auto const& framed : std::vector<Framed>{
@@ -49,13 +49,13 @@
         }
 }
 
-TEST_CASE("an answer in chunks under HTTP/1.0 is no answer") {
+TEST_CASE("a chunked HTTP/1.0 response is malformed") {
     auto text = head_of("200", "Transfer-Encoding: chunked\r\n") + "13\r\n" + body_mark + "\r\n0\r\n\r\n";
     text.replace(0, 8, "HTTP/1.0");
     check_no_answer(text, true);
 }
 
-TEST_CASE("a promise in an answer whose body breaks off the grammar is none") {
+TEST_CASE("a not-run header on a response with a malformed body does not count") {
     for (auto const* status : {"503", "421"})
         for (auto const* end : {"zz\r\n\r\n", "0\r\nX Y: 1\r\n\r\n"}) {
             INFO(status << " " << end);
@@ -63,9 +63,9 @@
         }
 }
 
-// Heads of interim answers, and answers to other requests, are waited through no longer than the request may wait.
+// Interim responses, and responses to other requests, do not extend the request's deadline.
 
-TEST_CASE("a replica that goes on and on before its answer is given up at the deadline") {
+TEST_CASE("a replica that keeps sending before its answer is given up at the deadline") {
     for (auto const& text : {std::string("HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n"), answer_text("id-0", "other")}) {
         INFO(text);
         auto wire = Wire([text](Peer& peer) -> awaitable<void> {
@@ -86,7 +86,7 @@
     }
 }
 
-TEST_CASE("a success in a content coding is no success where clients take none") {
+TEST_CASE("a successful response with a content coding fails if the protocol allows none") {
     auto const text = answer_text("id-1", body_mark, "200 OK", "Stamp: s\r\nContent-Encoding: gzip\r\n");
     auto coded = Wire(saying(text, false, false));
     CHECK(coded.ask("id-1").end == TryEnd::answered);
--- a/tests/byte_by_byte_test.cpp
+++ b/tests/byte_by_byte_test.cpp
@@ -1,4 +1,4 @@
-// Messages on links that deliver a byte at a time, and what a failed assertion of a library does. docs/requests.md.
+// Messages on links that deliver one byte at a time, and failed assertions inside a library. docs/requests.md.
 #include <boost/assert.hpp>
 #include <catch2/catch.hpp>
 
@@ -19,7 +19,7 @@
 auto const chunked_bodies = std::vector<std::string>{
     "0\r\n\r\n", "000\r\n\r\n", "0;a=b\r\n\r\n", "0\r\nX: 1\r\n\r\n", "4\r\nbbbb\r\n0\r\n\r\n"};
 
-// Answers each request as soon as its head and the body that the head tells of are there.
+// Answers each request as soon as its head and its body have arrived.
 auto answering_heads(int& requests) -> Script {
     return [&requests](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("\r\n\r\n")) {
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-// Guards against the end of the node by an assertion of the library: the empty body of a slow client's request.
-TEST_CASE("a chunked body is read whole at whatever byte it is cut, and the connection serves on") {
+// Guards against a crash of the node: a slow client's empty chunked body made an assertion of the library fail.
+TEST_CASE("a chunked body is read completely wherever it is split, and the connection stays usable") {
     for (auto const& body : chunked_bodies) {
         for (auto cut = std::size_t{1}; cut < body.size(); ++cut) {
             INFO(body << " cut at " << cut);
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("a chunked answer is read whole when its replica sends it byte by byte") {
+TEST_CASE("a chunked response is read completely when its replica sends it byte by byte") {
     for (auto const& body : chunked_bodies) {
         INFO(body);
         auto const text =
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("the platform's and the operator's calls are read whole when they come byte by byte") {
+TEST_CASE("calls of the platform and of operators are read completely when they arrive byte by byte") {
     auto context = asio::io_context(1);
     auto door = tcp::acceptor(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     auto caller = tcp::socket(context);
@@ -104,8 +104,8 @@
     CHECK(std::string(bytes.data(), caller.read_some(asio::buffer(bytes))).starts_with("HTTP/1.1 503 "));
 }
 
-// Guards against an assertion on input that ends the process.
-TEST_CASE("an assertion of a library throws while input is parsed, and only then and there") {
+// Guards against a library assertion on input that terminates the process.
+TEST_CASE("a failed library assertion throws within an input scope, also after a nested one") {
     auto const fail = [] { BOOST_ASSERT_MSG(false, "planted"); };
     {
         auto const scope = InputScope();
--- a/tests/client_gone_test.cpp
+++ b/tests/client_gone_test.cpp
@@ -1,5 +1,5 @@
-// A client that closes its connection, at every moment of its request: nothing is sent for it any more, and the run
-// that is under way ends. docs/users-rules.md, GONE.
+// A client that disconnects at any point of its request: nothing more is sent for it, and a run in progress ends.
+// docs/users-rules.md, GONE.
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
@@ -11,12 +11,12 @@
 
 constexpr auto bound = 500 * one_millisecond;
 
-struct Seen {  // by the replica
+struct Seen {  // what the replica has observed
     int requests = 0;
     int ended = 0;  // connections
 };
 
-// Reads a request, says something, and waits for the end.
+// Reads a request, sends the given text, and waits until the connection ends.
 auto working(Seen& seen, std::string said, std::string until = "bbbb") -> Script {
     return [&seen, said, until](Peer& peer) -> awaitable<void> {
         if (!co_await peer.until(until)) co_return;
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("a client that leaves ends the run, whatever the replica has said of it so far") {
+TEST_CASE("a disconnecting client ends the run, whatever the replica has sent so far") {
     auto const head = std::string("HTTP/1.1 200 OK\r\nRequest-Name: id-1\r\nStamp: s\r\n");
     auto const failed = std::string("HTTP/1.1 500 No\r\nRequest-Name: id-1\r\nContent-Length: 9\r\n\r\n");
     for (auto const& said :
@@ -42,7 +42,7 @@
                 auto session = SessionWire(working(seen, said), Kind{.repeatable = repeatable, .stream = repeatable});
                 session.say(post("id-1"));
                 REQUIRE(session.run_until([&] { return seen.requests == 1; }));
-                if (early) session.say(post("id-2").substr(0, 20));  // the next request has begun
+                if (early) session.say(post("id-2").substr(0, 20));  // the start of a pipelined request
                 session.run_for(20 * one_millisecond);
                 session.leave();
                 CHECK(session.run_until([&] { return seen.ended == 1; }, bound));
@@ -53,7 +53,7 @@
             }
 }
 
-TEST_CASE("a client that leaves while its long body goes out ends the run") {
+TEST_CASE("a client that disconnects while its long body is sent ends the run") {
     constexpr auto long_body = std::size_t{4U << 20U};
     auto seen = Seen();
     auto session = SessionWire(working(seen, "", "\r\n\r\nbb"));
@@ -63,7 +63,7 @@
     CHECK(session.run_until([&] { return session.session_over; }, bound));
 }
 
-TEST_CASE("a client that leaves while it waits for a place reaches no replica, and the place goes to others") {
+TEST_CASE("a client that disconnects while queued reaches no replica, and its slot goes to others") {
     auto seen = Seen();
     auto session = SessionWire(working(seen, ""));
     auto& granting = session.wire.node->table.granting;
@@ -79,7 +79,7 @@
     CHECK(session.wire.node->open_requests == 0);
 }
 
-TEST_CASE("a client that leaves between two tries reaches no second replica") {
+TEST_CASE("a client that disconnects between two tries reaches no second replica") {
     auto seen = Seen();
     auto const turned_away = answer_text("id-1", "", "503 No", "Untouched: 1\r\n");
     auto session = SessionWire(working(seen, turned_away), Kind{.repeatable = true});
@@ -91,7 +91,7 @@
     CHECK(seen.requests == 1);
 }
 
-TEST_CASE("a client that left while the node was busy elsewhere reaches no replica, not even by a kept connection") {
+TEST_CASE("a client that disconnected while the node was busy reaches no replica, not even on a pooled connection") {
     for (auto kept : {false, true}) {
         auto requests = 0;
         auto session = SessionWire(answering(requests));
@@ -100,7 +100,7 @@
         session.run_for(20 * one_millisecond);
         CHECK(session.wire.pooled() == (kept ? 1U : 0U));
         asio::write(session.wire.client, asio::buffer(post("id-1")));
-        session.leave();  // both lie there before the node looks again
+        session.leave();  // request and disconnect are both pending when the node continues
         session.run_for(200 * one_millisecond);
         CHECK(session.session_over);
         CHECK(requests == (kept ? 1 : 0));
--- a/tests/endless_answer_test.cpp
+++ b/tests/endless_answer_test.cpp
@@ -1,4 +1,4 @@
-// Answers of replicas that go on and on: bounded in memory, in work and in time. docs/requests.md.
+// Endless replica responses: bounded in memory, in work and in time. docs/requests.md.
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
@@ -17,7 +17,7 @@
     return size + text + "\r\n";
 }
 
-// Says the same chunk again and again for a while, then ends the answer as it should be.
+// Sends the same chunk repeatedly for a while, then ends the response correctly.
 auto going_on(std::string text, Microseconds length) -> Script {
     return [text, length](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-// Guards against a stream that is passed on past its deadline for as long as bytes keep coming.
-TEST_CASE("an answer whose bytes keep coming is cut after its deadline all the same") {
+// Guards against a stream that is relayed past its deadline as long as bytes keep arriving.
+TEST_CASE("an answer is cut off after its deadline even while bytes keep arriving") {
     auto wire = Wire(going_on(": still here\n\n", 2 * one_second));
     wire.limit = 300 * one_millisecond;
     auto const began = clock_now();
@@ -53,8 +53,8 @@
     CHECK(wire.pooled() == 0);
 }
 
-// Guards against an event without an end that fills the memory of the node.
-TEST_CASE("an event without an end breaks its try at the limit, and what came before it has gone out") {
+// Guards against an event without an end that fills the node's memory.
+TEST_CASE("an event without an end fails its try at the size limit, after earlier events were relayed") {
     auto wire = Wire([](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
         co_await peer.say(stream_head);
@@ -68,12 +68,14 @@
     CHECK(wire.pooled() == 0);
 }
 
-TEST_CASE("events are found in time that grows with their length alone") {
+TEST_CASE("the time to find events is linear in their length") {
     auto const once = time_of(EventReader::event_limit / 8);
-    CHECK(time_of(EventReader::event_limit / 2) < 12 * once);  // four times as long; by its square it would be sixteen
+    CHECK(
+        time_of(EventReader::event_limit / 2) <
+        12 * once);  // four times the length; quadratic time would be sixteen times
 }
 
-TEST_CASE("an event's end is found wherever its bytes are cut") {
+TEST_CASE("the end of an event is found wherever its bytes are split") {
     for (auto const* end : {"\n\n", "\n\r\n", "\r\n\r\n"}) {
         auto const text = "id: 1\ndata: a" + std::string(end) + "id: 2\ndata: b" + std::string(end);
         for (auto cut = std::size_t{1}; cut < text.size(); ++cut) {
@@ -91,7 +93,7 @@
     }
 }
 
-TEST_CASE("a line of the product's own answers has a limit, and is found wherever it is cut") {
+TEST_CASE("a line of the product's own answers has a size limit, and is found wherever it is split") {
     PieceReader reader;
     CHECK(reader.take("{\"piece\":0}\n{\"pie") == "{\"piece\":0}\n");
     CHECK(reader.take("ce\":1}\n{\"pieces\":2}\n") == "{\"piece\":1}\n{\"pieces\":2}\n");
@@ -102,7 +104,7 @@
     CHECK(endless.wrong);
 }
 
-TEST_CASE("an event that is not whole yet is held within the budget of memory") {
+TEST_CASE("an incomplete event counts against the memory budget") {
     auto session = SessionWire(
         [](Peer& peer) -> awaitable<void> {
             if (!co_await peer.until("bbbb")) co_return;
--- a/tests/held_bodies_test.cpp
+++ b/tests/held_bodies_test.cpp
@@ -1,5 +1,5 @@
-// What callers send is held within one budget of memory: what has no room is refused, readably, and nothing else
-// suffers.
+// The memory budget for received messages: a request that exceeds it is refused with a readable answer, and other
+// requests are not affected.
 #include <catch2/catch.hpp>
 
 #include "base/memory_budget.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Readably, although the client is still sending; nothing of it is held then.
+// Checks that the client can read the refusal although it is still sending, and that no memory is held for it then.
 auto check_refused(SessionWire& session) -> void {
     REQUIRE(session.hear("no room for the request now\"}"));
     CHECK(session.seen.starts_with("HTTP/1.1 503"));
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-TEST_CASE("a budget of memory is never passed, and gets back what a message took") {
+TEST_CASE("a memory budget is never exceeded, and regains what a message used") {
     auto budget = MemoryBudget();
     budget.set_most(100'000);
     {
         auto first = MemoryShare(budget);
         CHECK(first.grow_to(60'000));
-        CHECK(first.grow_to(50'000));  // it has it
+        CHECK(first.grow_to(50'000));  // already reserved
         CHECK(budget.used() == 60'000);
         auto second = MemoryShare(budget);
         CHECK(second.grow_to(MemoryShare::free_bytes));
@@ -42,7 +42,7 @@
     CHECK(budget.used() == 0);
 }
 
-TEST_CASE("a body is held once: in no more room than its length") {
+TEST_CASE("a stored body uses no more memory than its length") {
     constexpr auto length = std::size_t{1'000'000};
     auto const head = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n";
     auto budget = MemoryBudget();
@@ -52,8 +52,8 @@
     parser.eager(true);
     auto failure = boost::system::error_code();
     parser.put(asio::buffer(head), failure);
-    CHECK(budget.used() == 0);  // a length that is only named takes nothing
-    constexpr auto stored_head = 4 + 1 + 14 + 7 + 2 * 2 * sizeof(HeadField);  // two lines' texts, and their places
+    CHECK(budget.used() == 0);                                                // a Content-Length alone reserves nothing
+    constexpr auto stored_head = 4 + 1 + 14 + 7 + 2 * 2 * sizeof(HeadField);  // texts and field objects of two lines
     auto const piece = std::string(10'000, 'b');
     for (auto sent = std::size_t{0}; sent < length; sent += piece.size()) parser.put(asio::buffer(piece), failure);
     REQUIRE(parser.is_done());
@@ -61,7 +61,7 @@
     CHECK(budget.used() == length + stored_head);
 }
 
-TEST_CASE("a head takes room for each of its fields, however small they are") {
+TEST_CASE("a head is charged for each of its fields, however small they are") {
     constexpr auto lines = std::size_t{2'000};
     auto budget = MemoryBudget();
     auto share = MemoryShare(budget);
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("the buffer that a request is read into counts while it is read, and is let go then") {
+TEST_CASE("the read buffer of a request is charged while the request is read, and released afterwards") {
     auto requests = 0;
     auto session = SessionWire(answering(requests));
     auto& budget = session.wire.node->message_memory;
@@ -101,7 +101,7 @@
     CHECK(session.run_until([&] { return budget.used() == 0; }));
 }
 
-TEST_CASE("a head without room gets 503 with Retry-After") {
+TEST_CASE("a head beyond the memory budget gets 503 with Retry-After") {
     auto requests = 0;
     auto kind = Kind();
     kind.header_bytes = 200'000;
@@ -112,7 +112,7 @@
     CHECK(requests == 0);
 }
 
-TEST_CASE("a body without room gets 503 with Retry-After, and the connection is not reset under it") {
+TEST_CASE("a body beyond the memory budget gets 503 with Retry-After, and the connection is not reset") {
     auto requests = 0;
     auto session = SessionWire(answering(requests));
     session.wire.node->message_memory.set_most(64'000);
@@ -121,7 +121,7 @@
     CHECK(requests == 0);
 }
 
-TEST_CASE("a small request is served while the budget is used up") {
+TEST_CASE("a small request is served while the budget is exhausted") {
     auto requests = 0;
     auto session = SessionWire(answering(requests));
     auto& budget = session.wire.node->message_memory;
@@ -132,7 +132,7 @@
     CHECK(session.hear("text-of-id-1"));
 }
 
-TEST_CASE("a replica's failure that has no room to be kept is told as one of the node's own") {
+TEST_CASE("a replica's failure that does not fit into the memory budget is answered by a failure of the node") {
     auto session = SessionWire([](Peer& peer) -> awaitable<void> {
         if (!co_await peer.until("bbbb")) co_return;
         auto const head = std::string("HTTP/1.1 500 No\r\nRequest-Name: id-1\r\nContent-Length: 500000\r\n\r\n");
--- a/tests/hostile_answer_test.cpp
+++ b/tests/hostile_answer_test.cpp
@@ -1,4 +1,4 @@
-// Answers of replicas that no sound replica sends: whatever they say ends their own try at most. docs/requests.md.
+// Hostile replica responses: they affect at most their own try. docs/requests.md.
 #include <catch2/catch.hpp>
 
 #include "connection/replica_exchange.hpp"
@@ -21,7 +21,7 @@
     return text + std::string(size, 'x') + "\r\n";
 }
 
-// The first connection is answered by this text, the others as they should be.
+// Answers on the first connection with this text, on all others correctly.
 auto spoiling_once(std::string text) -> Script {
     return [text](Peer& peer) -> awaitable<void> {
         co_await peer.until("bbbb");
@@ -38,10 +38,10 @@
 
 }  // namespace
 
-// Guards against the end of the node by an answer whose head names a length that no room can be made for.
-TEST_CASE("a length that a replica only names makes no room: its try breaks, and the next request is served") {
+// Guards against a crash of the node: a response announced a length that cannot be allocated.
+TEST_CASE("a huge Content-Length of a replica allocates nothing: its try fails, and the next request is served") {
     for (auto const* status : {"200 OK", "500 No", "503 No", "421 No"}) {
-        for (auto const* name : {"id-1", "id-0"}) {  // its own answer, and another's
+        for (auto const* name : {"id-1", "id-0"}) {  // the response to this request, and to another
             INFO(status << " to " << name);
             auto wire = Wire(spoiling_once(head_text(name, status, nonsense_length) + "id: 1\n"));
             CHECK(wire.ask("id-1").end != TryEnd::answered);
@@ -51,8 +51,8 @@
     }
 }
 
-// The same failure as clients see it: the request of one client ends, the connections of others go on.
-TEST_CASE("a client whose replica names a nonsense length may try again, and is served") {
+// The same failure from the client side: one client's request fails, the connections of others are not affected.
+TEST_CASE("a client whose replica announces a huge length may retry, and is served") {
     auto session = SessionWire(spoiling_once(head_text("id-1", "500 No", nonsense_length)), Kind{true});
     session.say(post("id-1"));
     REQUIRE(session.run_until([&] {
@@ -63,7 +63,7 @@
     CHECK(session.wire.node->open_requests == (session.session_over ? 0 : 1));
 }
 
-TEST_CASE("a failure is stored up to its bound alone, however long its replica goes on") {
+TEST_CASE("a failure's body is stored only up to its limit, however much its replica sends") {
     auto body = std::string();
     for (auto count = 0; count < 40; ++count) body += chunk(64U << 10U);
     body += "0\r\n\r\n";
@@ -75,26 +75,26 @@
     }
 }
 
-TEST_CASE("a chunk's header or trailers without an end break the try before they fill the memory") {
+TEST_CASE("an endless chunk header or endless trailers fail the try before they fill the memory") {
     auto const chunked = head_text("id-1", "200 OK", "Transfer-Encoding: chunked\r\n");
     for (auto const& text :
          {chunked + "1;" + std::string(1U << 20U, 'e'), chunked + "0\r\nX: " + std::string(1U << 20U, 't')}) {
         auto wire = Wire(saying(text, false, false));
         auto const began = clock_now();
         CHECK(wire.ask("id-1").end != TryEnd::answered);
-        CHECK(clock_now() - began < wire.limit / 2);  // not by its deadline
+        CHECK(clock_now() - began < wire.limit / 2);  // not only at its deadline
         CHECK(wire.pooled() == 0);
     }
 }
 
-TEST_CASE("trailers of an answer are no fields of its head") {
+TEST_CASE("trailers of a response are not merged into its head") {
     auto const chunked = head_text("id-1", "200 OK", "Transfer-Encoding: chunked\r\n");
     auto wire = Wire(saying(chunked + "4\r\ntext\r\n0\r\nConnection: close\r\nX-Late: 1\r\n\r\n", false, false));
     CHECK(wire.ask("id-1").end == TryEnd::answered);
     CHECK(wire.seen_by_client().find("X-Late") == std::string::npos);
 }
 
-TEST_CASE("a head of an answer is read up to its limit, one long field or many") {
+TEST_CASE("a response head is read up to its limit, with one long field or many") {
     auto many = std::string();
     for (auto count = 0; count < 3'000; ++count) many += "X-" + std::to_string(count) + ": 1\r\n";
     auto const most = std::size_t{ReplicaExchange::header_bytes};
@@ -108,7 +108,7 @@
     CHECK(wire.ask("id-1").end == TryEnd::answered);
 }
 
-TEST_CASE("an answer that comes byte by byte, or cut at any byte, is whole or broken and nothing else") {
+TEST_CASE("a response that arrives byte by byte, or truncated at any byte, is either complete or broken") {
     auto const whole = head_text("id-1", "200 OK", "Transfer-Encoding: chunked\r\n") + "4\r\ntext\r\n0\r\n\r\n";
     auto slow = Wire([whole](Peer& peer) -> awaitable<void> {
         peer.socket.set_option(tcp::no_delay(true));
--- a/tests/hostile_input_test.cpp
+++ b/tests/hostile_input_test.cpp
@@ -1,6 +1,6 @@
-// A seeded generator of HTTP messages against the one reader of the product: sound ones, cut at any byte, with lengths
-// at and beyond every limit, with framing that is wrong. Whatever comes, the reader gives a message or an error, throws
-// nothing, and holds no more than its limits allow. More seeds: DOCKROCK_HOSTILE_SEEDS=100000. docs/requests.md.
+// Fuzzes the product's HTTP reader with a seeded generator: valid messages, split at any byte, with lengths at and
+// beyond every limit, with invalid framing. For any input the reader returns a message or an error, throws nothing, and
+// holds no more than its limits allow. More seeds: DOCKROCK_HOSTILE_SEEDS=100000. docs/requests.md.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 
@@ -14,7 +14,7 @@
 constexpr auto seeds_in_ci = std::uint64_t{6'000};
 constexpr auto head_bytes = std::uint32_t{4'096};
 constexpr auto body_bytes = std::size_t{16'384};
-constexpr auto buffer_most = std::size_t{256U << 10U};  // of what is read but not parsed yet
+constexpr auto buffer_most = std::size_t{256U << 10U};  // of bytes read but not parsed yet
 
 auto seeds() -> std::uint64_t {
     auto const* const wanted = std::getenv("DOCKROCK_HOSTILE_SEEDS");
@@ -69,7 +69,7 @@
 
 struct Sample {
     std::string text;
-    bool sound = true;  // as the parts below make it; a mutation takes that away
+    bool sound = true;  // valid as generated; a mutation clears this
     std::string body;
 };
 
@@ -101,7 +101,7 @@
     return sample;
 }
 
-// One thing that no sound peer does.
+// Applies one mutation that makes the message invalid.
 auto spoil(Random& random, Sample& sample) -> void {
     auto& text = sample.text;
     auto const at = random.below(text.size() + 1);
@@ -123,7 +123,7 @@
     sample.sound = false;
 }
 
-// Both ends of a connection; what is said arrives in pieces.
+// Both ends of a connection; the bytes arrive in pieces.
 struct Pair {
     asio::io_context context{1};
     tcp::acceptor door{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
@@ -142,7 +142,7 @@
         auto const size = random.below(3) == 0 ? 1 + random.below(4) : 1 + random.below(text.size());
         auto const piece = asio::buffer(text.data() + said, std::min<std::size_t>(size, text.size() - said));
         auto const [failure, written] = co_await asio::async_write(speaker, piece, use_tuple);
-        if (failure) break;  // the reader has had enough
+        if (failure) break;  // the reader has closed
         said += written;
     }
     boost::system::error_code ignored;
@@ -152,7 +152,7 @@
 struct Outcome {
     boost::system::error_code failure;
     std::string body;
-    std::size_t held = 0;  // in the buffer, at the most that was seen
+    std::size_t held = 0;  // peak size of the buffer
 };
 
 template <bool is_request>
@@ -166,7 +166,7 @@
     stream.expires_after(std::chrono::seconds(5));
     outcome.failure = co_await read_head(stream, buffer, parser);
     if constexpr (!is_request)
-        while (!whole && !outcome.failure && !parser.is_done()) {  // as streams are passed on
+        while (!whole && !outcome.failure && !parser.is_done()) {  // piecewise, as streams are relayed
             outcome.failure = co_await read_some(stream, buffer, parser);
             outcome.held = std::max({outcome.held, buffer.size(), parser.get().body.size()});
             outcome.body += std::exchange(parser.get().body, std::string());
@@ -209,12 +209,12 @@
 
 }  // namespace
 
-TEST_CASE("whatever a peer sends, the reader gives a message or an error, within its limits") {
+TEST_CASE("for any input the reader returns a message or an error, within its limits") {
     auto const faults = message_reader_faults().load();
     auto const end = seeds();
     for (auto seed = std::uint64_t{1}; seed <= end; ++seed) {
         play<true>(seed);
         play<false>(seed);
     }
-    CHECK(message_reader_faults() == faults);  // none of it made the library throw
+    CHECK(message_reader_faults() == faults);  // no input made the library throw
 }
--- a/tests/hostile_request_test.cpp
+++ b/tests/hostile_request_test.cpp
@@ -1,5 +1,5 @@
-// Requests at and beyond every limit: each is served, or gets its answer, or its connection is closed; never more.
-// docs/requests.md.
+// Requests at and beyond every limit: each is served, or gets an error, or its connection is closed, with no other
+// effect. docs/requests.md.
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr auto wide = std::int64_t{262'144};                 // bytes of a head, as configured
-constexpr auto library_most = std::size_t{65'533};           // bytes that a field of the library's own message holds
+constexpr auto wide = std::int64_t{262'144};                 // configured head limit in bytes
+constexpr auto library_most = std::size_t{65'533};           // maximum bytes of a field in the library's own message
 constexpr auto unlimited = std::int64_t{1'000'000'000'000};  // bytes
 
 auto wide_kind(std::int64_t header_bytes) -> Kind {
@@ -19,7 +19,7 @@
     return kind;
 }
 
-// Keeps all that it read, and answers each request.
+// Records all input, and answers each request.
 auto keeping(std::string& read, int& requests) -> Script {
     return [&read, &requests](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("bbbb")) {
@@ -33,7 +33,7 @@
     };
 }
 
-// A list of so many parts of a prompt, each of 16 tokens.
+// A prefix header with this many prompt parts of 16 tokens each.
 auto parts_list(std::size_t count) -> std::string {
     auto list = std::string();
     for (auto number = std::size_t{0}; number < count; ++number) {
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-// Guards against the end of the node by a field, within the configured limit, that the library can't hold.
-TEST_CASE("a field longer than the library's own messages hold is served, and reaches the replica as it was sent") {
+// Guards against a crash of the node: a field within the configured limit was too long for the library's message type.
+TEST_CASE("a field too long for the library's message type is served, and reaches the replica as it was sent") {
     for (auto const size :
          {library_most - 1, library_most, library_most + 1, std::size_t{69'600}, std::size_t{200'000}}) {
         INFO(size);
@@ -65,7 +65,7 @@
     }
 }
 
-TEST_CASE("a field name longer than the library's own messages hold is passed on too") {
+TEST_CASE("a field name too long for the library's message type is relayed as well") {
     auto read = std::string();
     auto requests = 0;
     auto session = SessionWire(keeping(read, requests), wide_kind(wide));
@@ -88,7 +88,7 @@
     CHECK(read.find(list) != std::string::npos);
 }
 
-TEST_CASE("a head beyond the configured limit gets 431, one field or many, and a limit beyond 32 bits is none of 32") {
+TEST_CASE("a head beyond the limit gets 431, one field or many, and a limit beyond 32 bits is not truncated") {
     struct Case {
         std::int64_t limit;
         std::size_t size;
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("trailers of a request are no fields of its head") {
+TEST_CASE("trailers of a request are not merged into its head") {
     auto read = std::string();
     auto requests = 0;
     auto session = SessionWire(keeping(read, requests));
@@ -127,7 +127,7 @@
     CHECK(read.find("id-2") == std::string::npos);
 }
 
-TEST_CASE("a chunk's header or trailers without an end get their answer before they fill the memory") {
+TEST_CASE("an endless chunk header or endless trailers get an error before they fill the memory") {
     for (auto const* begun : {"4;", "0\r\nX: ", "4\r\nbbbb\r\n0;e=\""}) {
         INFO(begun);
         auto read = std::string();
@@ -141,7 +141,7 @@
     }
 }
 
-TEST_CASE("many names that a head lists as its connection's own cost no more than their number") {
+TEST_CASE("many names in Connection fields do not take quadratic time") {
     auto read = std::string();
     auto requests = 0;
     auto session = SessionWire(keeping(read, requests), wide_kind(wide));
@@ -155,7 +155,7 @@
     CHECK(read.find("\r\nx1: ") == std::string::npos);
 }
 
-TEST_CASE("times that are longer than a timer can count are long, not over") {
+TEST_CASE("timeouts beyond the range of a timer are long, not already expired") {
     auto read = std::string();
     auto requests = 0;
     auto kind = Kind();
@@ -171,7 +171,7 @@
     CHECK(requests == 2);
 }
 
-TEST_CASE("a last event that is no number is none") {
+TEST_CASE("a last event id that is not a number is ignored") {
     for (auto const* text : {"99999999999999999999999999", "-5", "x", ""}) {
         INFO(text);
         auto read = std::string();
