--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -1,5 +1,5 @@
-// The doors of a relaying node for its operator and for readiness, on real sockets: what a read of the configuration
-// may be answered, by whom, and when. docs/users-rules.md, sections 1 and 5.
+// The operator and readiness endpoints of a relaying node, on real sockets: which node may answer a read of the
+// configuration, and with what. docs/users-rules.md, sections 1 and 5.
 #include <catch2/catch.hpp>
 
 #include "connection/relay_session.hpp"
@@ -10,14 +10,14 @@
 
 namespace {
 
-// A node that leads the configuration's partition, with a follower that has all, and one connection to a door of it.
+// A node that leads the configuration's partition, with a synced follower and one connection to one of its endpoints.
 struct Door {
     asio::io_context context{1};
     RelayForm form;
     std::unique_ptr<Node> node = std::make_unique<Node>();
     tcp::acceptor acceptor{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     tcp::socket client{context};
-    std::string seen;  // by the client
+    std::string seen;  // bytes received by the client
     bool ticks = false;
 
     explicit Door(RelayDoor door) {
@@ -66,7 +66,7 @@
         machine().votes.decided = Record{1, "a", {"b"}, {"a", "b", "c", "d"}};
         machine().follow(clock_now());
         hold("first-document", 1);
-        grant(clock_now() + 60 * one_second);  // stays while the test lasts
+        grant(clock_now() + 60 * one_second);  // valid for the whole test
     }
     auto hold(std::string const& text, std::uint64_t number) -> void {
         auto& copy = machine().copy;
@@ -111,7 +111,7 @@
 
 }  // namespace
 
-TEST_CASE("a leader under a lease reads out what is committed at that moment, whatever the client holds") {
+TEST_CASE("a leader with a lease answers a read with the committed state, whatever the client holds") {
     auto door = Door(RelayDoor::operators);
     door.say("GET", "/document");
     door.run_for(moment);
@@ -127,12 +127,12 @@
     CHECK(door.heard("first-document") == 1);
 }
 
-TEST_CASE("a leader that thaws after its lease answers a read with 503 within a second, never with what it holds") {
+TEST_CASE("a leader resumed after its lease expired answers a read with 503 within a second, never with its state") {
     auto door = Door(RelayDoor::operators);
     door.say("GET", "/document");
     door.run_for(moment);
     REQUIRE(door.heard("HTTP/1.1 200") == 1);
-    door.grant(clock_now() - door.machine().times.lease_duration);  // its proof is still young
+    door.grant(clock_now() - door.machine().times.lease_duration);  // its proof is still fresh
     REQUIRE(door.node->control.proof_age(configuration_partition, clock_now()) < one_second);
     door.seen.clear();
     door.ticks = true;
@@ -144,10 +144,10 @@
     CHECK(door.heard("HTTP/1.1 200") == 0);
 }
 
-// Guards against 503, again and again, for a body that can never be passed on to the leader.
+// Guards against endless 503 for a body that can never be forwarded to the leader.
 TEST_CASE("a change that is not UTF-8 gets 400 at any node, not 503") {
     auto door = Door(RelayDoor::operators);
-    door.grant(clock_now() - door.machine().times.lease_duration);  // it leads no more
+    door.grant(clock_now() - door.machine().times.lease_duration);  // its lease has expired
     door.ticks = true;
     auto const body = std::string("{\"ver\":2,\"name\":\"\xff\"}");
     for (auto const* method : {"PUT", "PATCH"}) {
@@ -159,7 +159,7 @@
     }
 }
 
-TEST_CASE("an answer to HEAD has no body at the doors of operators and of readiness") {
+TEST_CASE("an answer to HEAD has no body on the operator and readiness endpoints") {
     for (auto const which : {RelayDoor::operators, RelayDoor::ready}) {
         auto door = Door(which);
         door.say("HEAD", "/document");
@@ -171,7 +171,7 @@
     }
 }
 
-TEST_CASE("a node that is told to stop is not ready from then on, also for one that keeps its connection") {
+TEST_CASE("a stopping node is not ready, also on a persistent connection") {
     auto door = Door(RelayDoor::ready);
     door.say("GET", "/ready");
     door.run_for(moment);
--- a/tests/platform/calls_test.cpp
+++ b/tests/platform/calls_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a page of the list is read as the protocol shows it") {
+TEST_CASE("a page of the replica list is read") {
     auto const page = calls::read_list_page(list_body);
     REQUIRE(page);
     CHECK(page->next == "p-50");
@@ -48,7 +48,7 @@
     CHECK(calls::list_call("p-50/&").target == "/replicas?pageToken=p-50%2F%26");
 }
 
-TEST_CASE("only an entry whose name or address can't be used is skipped") {
+TEST_CASE("only a list entry with an unusable name or address is skipped") {
     auto const page =
         page_of(R"({"id":"a","addr":"10.0.0.1:80","state":"drain"},)"
                 R"({"id":"","addr":"10.0.0.1:80"},{"addr":"10.0.0.1:80"},{"id":7,"addr":"10.0.0.1:80"},)"
@@ -68,7 +68,7 @@
     CHECK(page->replicas[2].weights == std::map<std::string, std::int64_t>{{"p", 7}});
 }
 
-TEST_CASE("a page of another form can't be read") {
+TEST_CASE("a page in another format is rejected") {
     cut_bodies_are_unreadable(list_body, calls::read_list_page);
     for (auto const* body :
          {"", "[]", "7", "null", "{}", R"({"replicas":{}})", R"({"replicas":null})", R"({"replicas":[],"nextToken":7})",
@@ -78,7 +78,7 @@
     CHECK_FALSE(calls::read_list_page(std::string(100'000, '[')));
 }
 
-TEST_CASE("a report is read, and one without what decides is none") {
+TEST_CASE("a report is read, and one without its required fields is rejected") {
     auto const report = calls::read_report(report_body);
     REQUIRE(report);
     CHECK(report->versions.at("model-a") == 1);
@@ -101,7 +101,7 @@
     CHECK(bare->memory_used == 0);
 }
 
-TEST_CASE("an order names model, version, holder and fence, and the life it is for") {
+TEST_CASE("an order has model, version, holder, fencing token and the replica instance it is for") {
     auto order = WeightsOrder{"model-a", 2, "node-7", 41, std::nullopt, "i-life-one"};
     auto const call = calls::order_call(order);
     CHECK(call.method == http::verb::post);
@@ -117,7 +117,7 @@
     CHECK(calls::report_call().target == "/-/report");
 }
 
-TEST_CASE("events and lists of kept prompts are read, and nonsense among events is a gap") {
+TEST_CASE("prefix cache events and lists are read, and an invalid event is a gap") {
     auto const events = calls::read_events(events_body);
     REQUIRE(events);
     CHECK(events->life == "77120");
--- a/tests/platform/document_helpers.hpp
+++ b/tests/platform/document_helpers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A whole document of the platform, and reading it in tests.
+// A complete platform document, and a helper to read it in tests.
 #include "../helpers.hpp"
 #include "platform/document.hpp"
 
--- a/tests/platform/document_test.cpp
+++ b/tests/platform/document_test.cpp
@@ -1,10 +1,10 @@
-// The platform's documents, read. docs/platform.md section 3.
+// Reading the platform's documents. docs/platform.md section 3.
 #include "document_helpers.hpp"
 
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("the platform's whole document is read into the product's structures") {
+TEST_CASE("a complete platform document is read into the product's structures") {
     auto const document = read_platform(full_document);
     CHECK(check_document(document).empty());
     CHECK(document.version == 7);
@@ -55,7 +55,7 @@
     CHECK((document.tenants[0].ranked && document.tenants[0].isolated));
 }
 
-TEST_CASE("types of routes, absent fields and unknown ones") {
+TEST_CASE("route types, absent fields and unknown fields") {
     auto const route_of = [](std::string const& fields) {
         return read_platform(
                    R"({"ver":1,"svcs":[],"routes":[{"name":"r","host":"h","pfx":"/","svc":"s","timeoutMs":1,)" +
@@ -83,7 +83,7 @@
     CHECK(read_platform(R"({"ver":1,"svcs":[],"routes":[],"orgs":[]})").keyed);
 }
 
-TEST_CASE("no cut of a document is read, and no nonsense breaks the reader") {
+TEST_CASE("no truncated document is accepted, and invalid values do not crash the reader") {
     for (auto length = std::size_t{0}; length < full_document.size(); ++length) {
         Problems problems;
         REQUIRE_FALSE(platform::read_document(full_document.substr(0, length), problems));
@@ -97,7 +97,7 @@
     for (auto depth = 0; depth < 100'000; ++depth) deep += "{\"routes\":";
     CHECK(read_paths(deep) == Paths{""});
     CHECK(read_paths("{}") == Paths{"/ver", "/routes", "/svcs"});
-    // Every field in turn takes every wrong kind of value: told or passed over, never a crash.
+    // Sets each field to each wrong kind of value: reported or ignored, never a crash.
     auto const values = {"null", "true", "-1", "0.5",  "1e999",  "-1e308", "99999999999999999999",
                          "\"\"", "[]",   "{}", "[[]]", "[null]", "[{}]",   "{\"name\":5}"};
     for (auto place = full_document.find("\":"); place != std::string::npos;
@@ -118,7 +118,7 @@
         }
 }
 
-TEST_CASE("wrong types, missing fields and numbers out of range are told by path") {
+TEST_CASE("wrong types, missing fields and numbers out of range are reported with their path") {
     auto const told = [](std::string const& what, std::string const& with, std::string const& path) {
         INFO(with);
         CHECK(read_paths(replaced(full_document, what, with)) == Paths{path});
@@ -127,7 +127,7 @@
     told("\"ver\":7", "\"ver\":7.5", "/ver");
     told("\"ver\":7", "\"ver\":-7", "/ver");
     told("\"ver\":7", "\"ver\":99999999999999999999", "/ver");
-    told("\"ver\":7", "\"ver\":1e17", "/ver");  // a fraction's notation is exact only below
+    told("\"ver\":7", "\"ver\":1e17", "/ver");  // doubles are exact integers only up to 2^53
     told("\"ver\":7", "\"ver\":1e30", "/ver");
     told("\"name\":\"r-long\",", "", "/routes/0/name");
     told("\"type\":\"stream\"", "\"type\":\"river\"", "/routes/0/type");
@@ -150,7 +150,7 @@
     told("\"isolated\":true", "\"isolated\":1", "/orgs/0/isolated");
 }
 
-TEST_CASE("named weights are read from the platform's body") {
+TEST_CASE("a model version is read from the platform's request body") {
     auto const named = platform::read_weights_named(R"({"model":"model-a","ver":2,"note":null})");
     REQUIRE(named);
     CHECK(named->model == "model-a");
--- a/tests/platform/merging_test.cpp
+++ b/tests/platform/merging_test.cpp
@@ -41,12 +41,12 @@
     auto const caps = merged(full_document, R"({"ver":9,"caps":{"hdrBytes":5}})");
     CHECK(caps.find("\"caps\":{\"hdrBytes\":5}") != std::string::npos);
     CHECK(caps == merged(full_document, R"({"ver":9,"upsert":{"caps":{"hdrBytes":5}}})"));
-    // In both lists: the new item. Twice in one: the later one.
+    // An item in both lists is replaced; of an item listed twice, the later one counts.
     auto const both = merged(
         full_document,
         R"({"ver":9,"upsert":{"orgs":[{"name":"north","a":1},{"name":"north","a":2}]},"remove":{"orgs":["north"]}})");
     CHECK(both.find(R"("orgs":[{"name":"north","a":2}])") != std::string::npos);
-    // Without its last tenant the fleet still asks for keys.
+    // Without its last tenant the fleet still requires keys.
     auto const closed = merged(full_document, R"({"ver":9,"remove":{"orgs":["north"]}})");
     CHECK(read_platform(closed).keyed);
     CHECK(read_platform(closed).tenants.empty());
@@ -57,12 +57,12 @@
     CHECK(merged(odd, R"({"ver":2})") == replaced(odd, "\"ver\":1", "\"ver\":2"));
 }
 
-TEST_CASE("changes that can't be read are told by path") {
+TEST_CASE("invalid changes are reported with their path") {
     for (auto const& change :
          {std::string(), std::string("[]"), std::string("{\"ver\":9"), std::string("5"), std::string(1'000'000, '['),
           std::string(R"({"ver":1e999999})")})
         CHECK(merge_paths(full_document, change) == Paths{""});
-    auto const deep = std::string(100, '[') + std::string(100, ']');  // whole, but deeper than is read
+    auto const deep = std::string(100, '[') + std::string(100, ']');  // valid JSON beyond the depth limit
     CHECK(merge_paths(full_document, R"({"ver":9,"x":)" + deep + "}") == Paths{""});
     CHECK(merge_paths(full_document, "{}") == Paths{"/ver"});
     CHECK(merge_paths(full_document, R"({"ver":9,"routes":[]})") == Paths{"/routes"});
@@ -81,11 +81,11 @@
     Problems problems;
     auto const text =
         platform::merge_document(full_document, R"({"ver":"x","upsert":{"routes":[{"name":"r","host":5}]}})", problems);
-    REQUIRE(text);  // types are the reader's
+    REQUIRE(text);  // field types are checked by read_document
     CHECK(read_paths(*text).contains("/routes/2/host"));
 }
 
-TEST_CASE("the platform's changes pass the product's rules") {
+TEST_CASE("a merged change passes the product's own checks") {
     auto const form = DocumentForm{platform::read_document, platform::merge_document};
     Copy current;
     auto const status_of = [&](std::string const& operation, std::string const& base, std::string const& body) {
--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file. docs/platform.md.
+// Reading the platform's settings file. docs/platform.md.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-TEST_CASE("the platform's settings of a core node are taken over") {
+TEST_CASE("the platform's settings of a core node are read") {
     NodeSettings settings;
     auto const problems = platform::read_settings(example, settings);
     for (auto const& problem : problems) UNSCOPED_INFO(problem.path << ": " << problem.what);
@@ -107,7 +107,7 @@
     CHECK(bounds.machines_lost == 2);
 }
 
-TEST_CASE("an edge node has no folder, and falls from readiness for longer before it shuts") {
+TEST_CASE("an edge node has no data folder, and reports not ready for longer before it stops") {
     auto text = replaced("dataDir = \"/data/my-core\"\n", "");
     auto const place = text.find("ctl = \"10.1.0.17:8683\"");
     text.replace(place, 22, "front = \"10.1.0.17:8689\"\nready = \"10.1.0.17:8687\"");
@@ -120,7 +120,7 @@
     CHECK(settings.stop_notice_milliseconds == 2'600);
 }
 
-TEST_CASE("what is missing or wrong in the platform's settings is told with its path") {
+TEST_CASE("missing and invalid platform settings are reported with their path") {
     CHECK(paths(replaced("nodeName = \"core-hill-1\"\n", "")) == Paths{"/nodeName"});
     CHECK(paths(replaced("portRange = [7360,7375]\n", "")) == Paths{"/portRange"});
     CHECK(paths(replaced("[7360,7375]", "[7360]")) == Paths{"/portRange"});
@@ -143,7 +143,7 @@
     CHECK(paths(std::string("\0\xff[[[", 5)) == Paths{""});
 }
 
-TEST_CASE("bounds that are left out keep their defaults, and fields that are not known are passed over") {
+TEST_CASE("omitted bounds keep their defaults, and unknown fields are ignored") {
     NodeSettings settings;
     REQUIRE(platform::read_settings(replaced("leaseMs = 3100\n", "novelMs = \"x\"\n"), settings).empty());
     CHECK(settings.bounds.lease == FleetBounds().lease);
@@ -151,7 +151,7 @@
     CHECK(settings.bounds.revoke == FleetBounds().revoke);
 }
 
-TEST_CASE("settings are read again as they then are; nothing of the earlier ones stays") {
+TEST_CASE("reading settings again replaces all earlier ones") {
     auto const file = (std::filesystem::temp_directory_path() / "dockrock-platform-settings.toml").string();
     auto const write = [&](std::string const& text) { std::ofstream(file, std::ios::trunc) << text; };
     NodeSettings settings;
@@ -167,7 +167,7 @@
     CHECK(platform::read_settings_at(file, settings).size() == 1);
 }
 
-TEST_CASE("limits derive from the bounds") {
+TEST_CASE("limits are derived from the bounds") {
     FleetBounds bounds;
     CHECK(proof_limits_of(bounds).entry == 4'500 * one_millisecond);
     CHECK(proof_limits_of(bounds).shed == 4'800 * one_millisecond);
@@ -179,7 +179,7 @@
     CHECK(most_extra_tries(bounds) == Approx(58.0 / 26.0));
 }
 
-TEST_CASE("the platform's form names what its wire speaks") {
+TEST_CASE("the platform's protocol has all names of its wire format") {
     auto const& form = platform::platform_form();
     CHECK(form.ready_path == "/-/ready");
     CHECK(form.configuration_path == "/-/config");
--- a/tests/refusal_wire_test.cpp
+++ b/tests/refusal_wire_test.cpp
@@ -1,4 +1,4 @@
-// What a client reads where its request has not run and never will. docs/requests.md; docs/users-rules.md, REFUSED.
+// What a client receives when its request has not run and never will. docs/requests.md; docs/users-rules.md, REFUSED.
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
@@ -6,7 +6,7 @@
 using namespace dockrock;
 using namespace dockrock::testing;
 
-TEST_CASE("whatever a request is refused for, its client is told when to come again, and its connection serves on") {
+TEST_CASE("every refusal has a Retry-After, and the client's connection stays usable") {
     struct Case {
         char const* what;
         std::function<void(Node&)> change;
--- a/tests/relay_form.hpp
+++ b/tests/relay_form.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A wire's names for tests of heads: none of them is a real platform's.
+// Header names of a fictitious wire protocol, for tests of heads.
 #include "process/form.hpp"
 
 namespace dockrock::testing {
--- a/tests/session_wire.hpp
+++ b/tests/session_wire.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A whole relaying session on real sockets: a client's connection, the node's own tables, one replica that follows a
-// script. Time passes as it does; everything runs on one thread.
+// A complete relay session on real sockets: a client's connection, the node's tables, one scripted replica. It runs in
+// real time, on one thread.
 #include "request_wire_helpers.hpp"
 
 namespace dockrock::testing {
@@ -13,13 +13,13 @@
     std::int64_t places = 4;
     std::int64_t tries = 2;
     std::int64_t header_bytes = 16'384;
-    int replicas = 1;  // lives at one address, all of the one script
+    int replicas = 1;  // instances at one address, all with the same script
 };
 
 struct SessionWire {
     Wire wire;
     bool session_over = false;
-    std::string seen;  // by the client
+    std::string seen;  // bytes received by the client
 
     explicit SessionWire(Script script, Kind kind = Kind{}) : wire(std::move(script)) {
         wire.limit = kind.timeout;
@@ -55,7 +55,7 @@
         run_until([&] { return session_over; }, one_second);
     }
 
-    // What becomes of a session that returns: its socket goes with it.
+    // Closes the socket of a session that has returned.
     auto end() -> void {
         session_over = true;
         boost::system::error_code ignored;
@@ -99,7 +99,7 @@
     auto run_for(Microseconds length) -> void {
         run_until([] { return false; }, length);
     }
-    // Until the client has that many answers whose bodies end so.
+    // `answers` counts `mark` in the bytes the client has received; `hear` runs until there are `count` of them.
     auto answers(std::string const& mark) const -> std::size_t {
         auto count = std::size_t{0};
         for (auto at = seen.find(mark); at != std::string::npos; at = seen.find(mark, at + 1)) ++count;
@@ -120,7 +120,7 @@
         "Content-Length: " + std::to_string(body) + "\r\n\r\n" + std::string(body, 'b');
 }
 
-// A replica that answers every request on a connection, and counts them.
+// A replica that answers and counts all requests.
 inline auto answering(int& requests) -> Script {
     return [&requests](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("bbbb")) {
--- a/tests/stale_refusal_test.cpp
+++ b/tests/stale_refusal_test.cpp
@@ -1,4 +1,4 @@
-// What only a configuration can refuse is refused under a young proof alone. docs/design.md section 8.3.
+// Refusals that depend on the configuration require a fresh lease proof. docs/design.md section 8.3.
 #include <catch2/catch.hpp>
 
 #include "request_wire_helpers.hpp"
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Microseconds old_proof = 2 * one_second;  // as old as a change may be without being in force
+constexpr Microseconds old_proof = 2 * one_second;  // the time that a change may take to come into force
 constexpr Microseconds young_proof = 100 * one_millisecond;
 
-// What a client is answered by a node under a proof of that age, as its configuration has no such host.
+// What a node with a proof of this age answers to a request for a host that its configuration does not have.
 auto answer_under(Microseconds proof_age, std::string const& host = "nobody") -> std::string {
     auto wire = Wire([](Peer&) -> awaitable<void> { co_return; });
     wire.judged(true, false);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("an unknown route is refused with 404 under a young proof and with 503 under an old one") {
+TEST_CASE("an unknown route is refused with 404 under a fresh proof and with 503 under an old one") {
     CHECK(answer_under(young_proof).starts_with("HTTP/1.1 404 "));
     for (auto const age : {old_proof, old_proof + one_second, 3'600 * one_second}) {
         auto const answer = answer_under(age);
--- a/tests/unreadable_request_test.cpp
+++ b/tests/unreadable_request_test.cpp
@@ -1,5 +1,4 @@
-// What a client sends that is no request, or is two in one, and what it hears of failures. docs/users-rules.md,
-// UNASKED and MIXED.
+// Malformed requests, smuggled requests, and how failures are answered. docs/users-rules.md, UNASKED and MIXED.
 #include <catch2/catch.hpp>
 
 #include "session_wire.hpp"
@@ -9,7 +8,7 @@
 
 namespace {
 
-// What the client hears, until its connection ends or it has been silent for a while.
+// What the client receives until its connection ends or is silent for a while.
 auto heard_of(SessionWire& session, std::string const& text) -> std::string {
     session.say(text);
     session.run_until(
@@ -22,7 +21,7 @@
     return session.seen;
 }
 
-// Answers the requests on its connections by these texts in turn, the last one again and again.
+// Answers the requests on its connections with these texts in turn, repeating the last one.
 auto saying_in_turn(std::vector<std::string> texts, std::size_t& requests) -> Script {
     return [texts, &requests](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("bbbb")) {
@@ -39,7 +38,7 @@
     return head.substr(from, head.find("\r\n", from) - from);
 }
 
-// Reads each request by its length, notes its name and answers it.
+// Reads each request by its Content-Length, records its identity and answers it.
 auto noting(std::vector<std::string>& names) -> Script {
     return [&names](Peer& peer) -> awaitable<void> {
         while (co_await peer.until("\r\n\r\n")) {
@@ -59,7 +58,7 @@
     };
 }
 
-// A second replica at the same address: another life, to which a further try may go.
+// A second replica instance at the same address, available for a further try.
 auto list_another(SessionWire& session) -> void {
     auto& node = *session.wire.node;
     auto fresh = std::make_shared<Snapshot>(*node.snapshot.load());
@@ -72,7 +71,7 @@
 
 }  // namespace
 
-TEST_CASE("what can't be read, or is too large, is answered so and reaches no replica") {
+TEST_CASE("malformed or too large requests get their status and reach no replica") {
     struct Case {
         char const* what;
         std::string text;
@@ -108,7 +107,7 @@
     }
 }
 
-TEST_CASE("a request within the body of another is no request, however the body's end is told") {
+TEST_CASE("a request within the body of another is not executed, whatever the body's framing") {
     auto const inner =
         std::string("POST /a HTTP/1.1\r\nHost: h\r\nRequest-Name: inner\r\nContent-Length: 4\r\n\r\nbbbb");
     auto const head = std::string("POST /a HTTP/1.1\r\nHost: h\r\nRequest-Name: outer\r\n");
@@ -130,7 +129,7 @@
     }
 }
 
-TEST_CASE("a failure bears the status, the stamp and the body of one replica's answer, or none of them") {
+TEST_CASE("a relayed failure has the status, the stamp and the body of one replica's answer, or none of them") {
     struct Case {
         char const* what;
         bool repeatable;
