--- a/source/connection/node_call.cpp
+++ b/source/connection/node_call.cpp
@@ -38,12 +38,12 @@
     co_return co_await asio::async_initiate<asio::use_awaitable_t<> const, void(CallDone)>(
         [&](auto handler) {
             auto const shared = std::make_shared<decltype(handler)>(std::move(handler));
-            auto told = [executor, shared](CallDone done) {
+            auto complete = [executor, shared](CallDone done) {
                 asio::post(
                     executor, [shared, done = std::move(done)]() mutable { std::move (*shared)(std::move(done)); });
             };
-            if (call.operation == "form-anew") node.form_anew(std::move(told));
-            else node.make_call(std::move(call), std::move(told));
+            if (call.operation == "form-anew") node.form_anew(std::move(complete));
+            else node.make_call(std::move(call), std::move(complete));
         },
         asio::use_awaitable);
 }
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -10,7 +10,7 @@
 
 using View = boost::beast::string_view;
 
-constexpr auto most_urgent = 0;
+constexpr auto highest_urgency = 0;
 constexpr auto unknown_weights = std::string_view("unknown-");  // never equals a version: those are numbers
 
 constexpr auto connection_fields = std::to_array<std::string_view>(
@@ -19,14 +19,14 @@
 
 auto same(View left, std::string_view right) -> bool { return beast::iequals(left, View(right.data(), right.size())); }
 
-struct NamesWithoutCase {
+struct CaseInsensitiveLess {
     using is_transparent = void;
     auto operator()(View left, View right) const -> bool { return beast::iless()(left, right); }
 };
 
 // Hop-by-hop field names: the fixed ones, and those listed by the `Connection` fields of this head.
 struct ConnectionNames {
-    std::set<View, NamesWithoutCase> listed;
+    std::set<View, CaseInsensitiveLess> listed;
 
     auto add(View line) -> void {
         for (auto const& token : http::token_list(line)) listed.insert(token);
@@ -81,7 +81,7 @@
     RelayForm const& form, HttpRequest const& request, RelayVerdict const& judged, Course const& course,
     std::int64_t last_event, Microseconds time_left) -> std::string {
     auto const& names = form.headers;
-    auto const own = std::to_array<std::string_view>(
+    auto const router_fields = std::to_array<std::string_view>(
         {names.key, names.tenant, names.deadline, names.replica_wanted, names.weights_wanted, names.salt, names.urgency,
          names.fetch_from, names.store_at, names.last_event});
     auto const connection_names = connection_names_of(request.fields);
@@ -89,8 +89,8 @@
     head.reserve(1'024);
     head.append(request.method_string()).append(" ").append(request.target()).append(" HTTP/1.1\r\n");
     for (auto const& [name, value] : request.fields.lines) {
-        auto const replaced =
-            std::any_of(own.begin(), own.end(), [&](auto item) { return !item.empty() && same(name, item); });
+        auto const replaced = std::any_of(
+            router_fields.begin(), router_fields.end(), [&](auto item) { return !item.empty() && same(name, item); });
         if (!replaced && !connection_names.contains(name)) add(head, name, value);
     }
     auto const& placement = course.placement;
@@ -100,7 +100,7 @@
     if (judged.tenant != nullptr) add(head, names.tenant, judged.tenant->name);
     if (!placement.weights.empty()) add(head, names.weights_wanted, placement.weights);
     if (auto const salt = salt_for(course, request[names.request_identity]); !salt.empty()) add(head, names.salt, salt);
-    auto const urgency = placement.short_prompt ? most_urgent : urgency_of(judged.tenant, *judged.route);
+    auto const urgency = placement.short_prompt ? highest_urgency : urgency_of(judged.tenant, *judged.route);
     add(head, names.urgency, std::to_string(urgency));
     if (!placement.fetch.source.empty()) add(head, names.fetch_from, placement.fetch.source);
     if (!placement.fetch.save_at.empty()) add(head, names.store_at, placement.fetch.save_at);
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -117,8 +117,8 @@
     auto pending = std::string();
     if (!answer.head_sent) {
         answer.chunked = !length && !empty;
-        auto const told = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
-        pending = head_for_client(message, answer.chunked, told, answer.keep);
+        auto const declared_length = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+        pending = head_for_client(message, answer.chunked, declared_length, answer.keep);
     }
     co_await relay_pieces(std::move(pending));
 }
--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Microseconds longest_wait = 24 * 3'600 * one_second;  // upper bound for configured timeouts
+constexpr Microseconds max_timeout = 24 * 3'600 * one_second;  // upper bound for configured timeouts
 constexpr auto first_read_bytes = std::size_t{4U << 10U};
 constexpr auto body_read_bytes = std::size_t{64U << 10U};
 
@@ -43,7 +43,7 @@
 auto RelaySession::await_request(RequestLimits const& limits) -> awaitable<bool> {
     buffer = beast::flat_buffer();
     client.expires_after(std::chrono::microseconds(
-        node.stopping ? 300 * one_millisecond : std::clamp(limits.idle_time, one_second, longest_wait)));
+        node.stopping ? 300 * one_millisecond : std::clamp(limits.idle_time, one_second, max_timeout)));
     auto const [failure, size] = co_await client.async_read_some(buffer.prepare(first_read_bytes), use_tuple);
     if (failure) co_return false;
     buffer.commit(size);
@@ -54,13 +54,13 @@
     -> awaitable<boost::system::error_code> {
     parser.body_limit(static_cast<std::uint64_t>(limits.body_bytes));
     parser.limit_head(head_limit(limits.header_bytes));
-    client.expires_after(std::chrono::microseconds(std::min(limits.header_time, longest_wait)));
+    client.expires_after(std::chrono::microseconds(std::min(limits.header_time, max_timeout)));
     if (auto const failure = co_await read_head(client, buffer, parser); failure) co_return failure;
     if (parser.is_done()) co_return boost::system::error_code();
     if (beast::iequals(parser.get()[http::field::expect], "100-continue"))
         co_await write_all("HTTP/1.1 100 Continue\r\n\r\n");
     make_body_buffer(parser);
-    client.expires_after(std::chrono::microseconds(std::min(limits.idle_time, longest_wait)));
+    client.expires_after(std::chrono::microseconds(std::min(limits.idle_time, max_timeout)));
     co_return co_await read_whole(client, buffer, parser);
 }
 
--- a/source/connection/relay_watch.cpp
+++ b/source/connection/relay_watch.cpp
@@ -9,8 +9,8 @@
 
 // Whether the peer has closed or reset the connection; detected even behind unread bytes of a pipelined request.
 auto has_left(tcp::socket& socket) -> bool {
-    auto asked = pollfd{socket.native_handle(), POLLRDHUP, 0};
-    return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    auto query = pollfd{socket.native_handle(), POLLRDHUP, 0};
+    return ::poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 constexpr auto recheck_interval = std::chrono::milliseconds(200);
 
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -39,7 +39,7 @@
 }
 
 namespace {
-constexpr auto longest_told_seconds = std::int64_t{3'600};
+constexpr auto max_advertised_seconds = std::int64_t{3'600};
 }  // namespace
 
 auto told_idle_limit(std::string_view text) -> Microseconds {
@@ -47,7 +47,7 @@
     if (place == std::string_view::npos) return 4 * one_second;
     auto seconds = std::int64_t{0};
     std::from_chars(text.data() + place + 8, text.data() + text.size(), seconds);
-    seconds = std::clamp<std::int64_t>(seconds, 0, longest_told_seconds);
+    seconds = std::clamp<std::int64_t>(seconds, 0, max_advertised_seconds);
     return seconds * one_second - std::min<Microseconds>(one_second, seconds * one_second / 2);
 }
 
