--- a/tests/address_wait_test.py
+++ b/tests/address_wait_test.py
@@ -1,4 +1,4 @@
-"""A node whose addresses are still taken at its start waits for them, and leaves the holder's data folder alone."""
+"""A node whose addresses are in use at its start waits for them, and does not touch their holder's data folder."""
 
 import signal
 import socket
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -5,9 +5,9 @@
 
 using namespace dockrock;
 
-// Design 8.3: what matching may grant under a proof, the last checks let through;
-// else a request goes round between the two, and nothing else gets the processor.
-TEST_CASE("the last checks hold the proof limit that matching holds", "[course]") {
+// Design 8.3: the final checks must accept every proof age that the scheduler accepts. Otherwise a request cycles
+// between the two, and nothing else gets processor time.
+TEST_CASE("the final checks use the same proof limit as the scheduler", "[course]") {
     auto form = RelayForm();
     auto node = std::make_unique<Node>();
     node->form = &form;
--- a/tests/operator_memory_test.py
+++ b/tests/operator_memory_test.py
@@ -1,4 +1,4 @@
-"""Core nodes stay within their memory while eight operators are at work on a document near the greatest size."""
+"""Core nodes stay within their memory limit while eight operators change a document close to the maximum size."""
 
 import json
 import pathlib
--- a/tests/process_limits_test.py
+++ b/tests/process_limits_test.py
@@ -1,4 +1,4 @@
-"""A node under the limits of its machine, as the kernel enforces them: it runs inside them, or says why it cannot."""
+"""A node under resource limits enforced by the kernel: it runs within them, or reports why it cannot."""
 
 import resource
 import signal
@@ -44,7 +44,7 @@
 
 
 def starts_under(core, *limits):
-    """Bears these limits of the kernel, in MiB, from its start to its polite end."""
+    """A node runs under these kernel limits, in MiB, from its start to its graceful stop."""
 
     def case(program, folder):
         with Node(program, folder, core, [(which, value * MEBIBYTE) for which, value in limits]) as node:
@@ -82,7 +82,7 @@
 
 
 def bears_long_bodies(program, folder):
-    """Clients whose bodies together are more than the memory that the node may take."""
+    """Clients whose bodies together exceed the memory that the node may use."""
     with Node(program, folder) as node:
         if not node.starts():
             return "it does not start: " + node.told()
@@ -107,7 +107,7 @@
 
 
 def stays_reachable_when_clients_hold_all(program, folder):
-    """More clients rest at its door than it has descriptors."""
+    """More idle client connections than the node has file descriptors."""
     with Node(program, folder, limits=[(resource.RLIMIT_NOFILE, FEW_DESCRIPTORS)]) as node:
         if not node.starts():
             return "it does not start: " + node.told()
@@ -123,7 +123,7 @@
 
 
 def holds_unfinished(request, *limits):
-    """Many clients whose requests do not go on: each of them waits or is told 503, none is reset."""
+    """Many clients with stalled requests: each of them waits or gets 503, none is reset."""
 
     def case(program, folder):
         with Node(program, folder, limits=limits) as node:
@@ -150,7 +150,7 @@
 
 
 def needs_no_thread_once_it_runs(program, folder):
-    """From its start on there is no room for another stack."""
+    """Once the node has started, its address space limit leaves no room for another thread stack."""
     with Node(program, folder) as node:
         if not node.starts():
             return "it does not start: " + node.told()
--- a/tests/product_refusal_test.cpp
+++ b/tests/product_refusal_test.cpp
@@ -1,5 +1,5 @@
-// Refusals of the product's own interface by age of the proof, and the order of proof and snapshot. docs/design.md
-// sections 8.2.2 and 8.3.
+// Refusals of the product's own API depending on the age of the lease proof, and the order in which proof and snapshot
+// are read. docs/design.md sections 8.2.2 and 8.3.
 #include "connection/session.hpp"
 #include "helpers.hpp"
 #include "process/clock.hpp"
@@ -20,7 +20,7 @@
     return request;
 }
 
-// What a caller is answered by a node under a proof of that age.
+// What a node with a proof of this age answers to a caller.
 auto answer_under(Microseconds proof_age, HttpRequest const& request) -> std::string {
     auto context = asio::io_context(1);
     auto door = tcp::acceptor(context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("the product's own tickets are refused under a young proof alone") {
+TEST_CASE("inference requests are refused only under a fresh proof") {
     auto const body =
         std::string(R"({"model":"small","kind":"question","prompt":"hello","max_tokens":10,)") + R"("tenant":"north"})";
     expect_refusal(request_of(http::verb::post, "/v1/generate", body, "no-key"), "401");
@@ -64,12 +64,12 @@
     expect_refusal(request_of(http::verb::post, "/v1/generate", replaced(body, "small", "tiny"), "secret-0"), "404");
 }
 
-TEST_CASE("an order for weights is refused for its unknown service under a young proof alone") {
+TEST_CASE("a weights change for an unknown service is refused only under a fresh proof") {
     auto const target = std::string("/control/services/nothing/weights");
     expect_refusal(request_of(http::verb::put, target, R"({"weights":"w2"})", ""), "404");
 }
 
-TEST_CASE("a reader of the proof and then the snapshot never holds less than what is proven") {
+TEST_CASE("reading the proof before the snapshot never gives a snapshot older than the proof") {
     constexpr auto changes = std::uint64_t{400};
     auto const node = std::make_unique<Node>();
     auto fresh = std::make_shared<Snapshot>();
@@ -91,7 +91,7 @@
     news.copy.document = tree();
     for (auto number = std::uint64_t{2}; number < 2 + changes; ++number) {
         auto const looked = looks.load();
-        while (looks == looked) std::this_thread::yield();  // the reader is at it
+        while (looks == looked) std::this_thread::yield();  // waits until the reader has read again
         news.copy.sequence = {1, number};
         news.proven_at = static_cast<Microseconds>(number);
         node->publish_snapshot();
--- a/tests/start_failures_test.py
+++ b/tests/start_failures_test.py
@@ -1,4 +1,4 @@
-"""A node that can't start ends at once and says why on standard error, whatever its log is set to."""
+"""A node that cannot start exits at once and reports why on standard error, whatever its log settings."""
 
 import os
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def ended(program, text, *options):
-    """Status and standard error of a node under these settings; none: no settings file at all."""
+    """Exit status and standard error of a node with these settings; None: without a settings file."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "settings.toml"
         if text is not None:
@@ -32,7 +32,7 @@
 
 
 def busy(port):
-    """A socket that holds this port of the node's address."""
+    """A socket that occupies this port of the node's address."""
     held = socket.socket()
     held.bind((ADDRESS, port))
     held.listen(1)
