--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -57,7 +57,7 @@
 }
 
 // Takes verdict and sequence from the same snapshot; the time of the lease proof is read before it (design 8.2.2).
-auto RelaySession::judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement {
+auto RelaySession::interpret_request(HttpRequest const& request, Microseconds arrived_at) const -> RelayInterpretation {
     auto const proven = node.proven_at.load();
     auto const current = node.snapshot.load();
     return {judge_relayed(current->rules->services, arrival_of(request, arrived_at)), current->rules->sequence, proven};
@@ -75,18 +75,19 @@
     for (auto count = 0;
          count < 30 && node.snapshot.load()->rules->empty() && clock_now() - node.started_at < 4 * one_second; ++count)
         co_await pause(50 * one_millisecond);
-    auto judgement = judge(request, now);
-    auto const& verdict = judgement.verdict.verdict;
+    auto interpretation = interpret_request(request, now);
+    auto const& verdict = interpretation.verdict.verdict;
     if (verdict.kind == Verdict::Kind::answer) {
         ++node.counters.refused;
         auto const status = verdict.status;
-        if (!node.may_refuse(judgement.proven)) co_return co_await refuse(request, 503, "no fresh configuration", soon);
-        node.note_refusal(status, judgement.rules);
+        if (!node.may_refuse(interpretation.proven))
+            co_return co_await refuse(request, 503, "no fresh configuration", soon);
+        node.note_refusal(status, interpretation.rules);
         co_return co_await refuse(request, status, verdict.reason, status == 503 ? soon : "");
     }
     auto const counted = CountedScope(node.open_tickets);
     auto const watched = WatchScope(*this);
-    co_return co_await run(request, std::move(judgement));
+    co_return co_await run(request, std::move(interpretation));
 }
 
 auto RelaySession::wait_for_placement(Course& course) -> awaitable<CourseStep> {
@@ -114,17 +115,17 @@
     co_return course.placed(*entry.placement, node.facts_for(entry.placement->replica));
 }
 
-auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
-    auto const rules = judgement.verdict.rules;  // keeps the route alive
-    auto const& route = *judgement.verdict.route;
+auto RelaySession::run(HttpRequest const& request, RelayInterpretation interpretation) -> awaitable<bool> {
+    auto const rules = interpretation.verdict.rules;  // keeps the route alive
+    auto const& route = *interpretation.verdict.route;
     auto course = Course();
-    course.ticket = judgement.verdict.verdict.ticket;
+    course.ticket = interpretation.verdict.verdict.ticket;
     course.ticket.number = node.next_ticket++;
-    course.rules = judgement.rules;
+    course.rules = interpretation.rules;
     auto answer = RelayAnswer();
     auto usable = false;
     try {
-        usable = co_await follow(request, std::move(judgement), course, answer);
+        usable = co_await follow(request, std::move(interpretation), course, answer);
     } catch (...) {  // the connection ends; its slot at the replica must be released
         node.table.abandon(course.ticket.number);
         node.release(course.placement.replica, course.ticket.number);
@@ -136,9 +137,10 @@
 }
 
 // Drives the lifecycle of one relayed request; requests on the product's own API have the same one.
-auto RelaySession::follow(HttpRequest const& request, RelayJudgement judgement, Course& course, RelayAnswer& answer)
+auto RelaySession::follow(
+    HttpRequest const& request, RelayInterpretation interpretation, Course& course, RelayAnswer& answer)
     -> awaitable<bool> {
-    auto judged = std::move(judgement.verdict);
+    auto judged = std::move(interpretation.verdict);
     auto const last = field_of(request, node.form->headers.last_event);
     if (!last.empty() && judged.route->resumable) answer.events.last = event_number(last);
     for (auto step = course.begin();;) {
@@ -154,7 +156,7 @@
             }
             case Step::interpret: {
                 auto const facts = node.facts_for(course.placement.replica);
-                auto later = judge(request, course.ticket.arrived_at);
+                auto later = interpret_request(request, course.ticket.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enter) judged = std::move(later.verdict);
                 step = course.judged(verdict, later.rules, facts);
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -39,7 +39,7 @@
 
 // A verdict and the state it was derived from. It is valid only for the rules with this sequence, and may refuse a
 // request only if the lease proof, read before the rules, was fresh.
-struct RelayJudgement {
+struct RelayInterpretation {
     RelayVerdict verdict;
     Sequence rules;
     Microseconds proven = 0;
@@ -57,11 +57,11 @@
     auto make_body_buffer(RequestParser& parser) -> void;
     auto answer_read_error(boost::system::error_code failure) -> awaitable<void>;
     auto handle(HttpRequest const& request) -> awaitable<bool>;
-    auto judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement;
-    auto run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool>;
+    auto interpret_request(HttpRequest const& request, Microseconds arrived_at) const -> RelayInterpretation;
+    auto run(HttpRequest const& request, RelayInterpretation interpretation) -> awaitable<bool>;
     auto send_try(HttpRequest const& request, RelayVerdict const& judged, Course& course, RelayAnswer& answer)
         -> awaitable<TryResult>;
-    auto follow(HttpRequest const& request, RelayJudgement judgement, Course& course, RelayAnswer& answer)
+    auto follow(HttpRequest const& request, RelayInterpretation interpretation, Course& course, RelayAnswer& answer)
         -> awaitable<bool>;
     auto wait_for_placement(Course& course) -> awaitable<CourseStep>;
     auto refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after = std::string())
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -46,8 +46,8 @@
     auto& node = *session.wire.node;
     node.proven_at = clock_now();
     auto request = Wire::request("id-1", 4);
-    auto const judgement = session.wire.session->judge(request, clock_now());
-    REQUIRE(judgement.verdict.verdict.kind == Verdict::Kind::enter);
+    auto const interpretation = session.wire.session->interpret_request(request, clock_now());
+    REQUIRE(interpretation.verdict.verdict.kind == Verdict::Kind::enter);
     auto fresh = std::make_shared<Snapshot>(*node.snapshot.load());
     auto rules = std::make_shared<Rules>();
     rules->sequence = {1, 2};
@@ -56,9 +56,9 @@
     node.snapshot = fresh;
     session.wire.session->begin_watch();
     auto done = false;
-    asio::co_spawn(session.wire.context, session.wire.session->run(request, judgement), [&](std::exception_ptr, bool) {
-        done = true;
-    });
+    asio::co_spawn(
+        session.wire.context, session.wire.session->run(request, interpretation),
+        [&](std::exception_ptr, bool) { done = true; });
     REQUIRE(session.run_until([&] { return done; }));
     session.wire.session->end_watch();
     session.listen();
