--- a/scripts/check_files.py
+++ b/scripts/check_files.py
@@ -38,7 +38,7 @@
                 timed = any(place in path.parents for place in real_time)
                 if folder == "tests" and not timed and re.search(r"sleep", line):
                     bad.append("%s:%d sleeps" % (path.relative_to(root), number))
-bad += ["%s no longer derives from the library: take it off the list" % path for path in derived]
+bad += ["%s no longer derives from the library: remove it from the list" % path for path in derived]
 if shutil.which("clang-format"):
     sources = [
         str(path)
--- a/scripts/check_includes.py
+++ b/scripts/check_includes.py
@@ -3,7 +3,7 @@
 LAYERS lists the layers from the lowest up. The groups of one layer must not include each other; the folders within a
 group may, until they are merged into one folder. KNOWN_VIOLATIONS lists exceptions; any other violation fails,
 and so does a listed one that no longer exists. docs/design.md section 2.
-Use: check_includes.py [ROOT]
+Usage: check_includes.py [ROOT]
 """
 
 import pathlib
--- a/scripts/check_packages.py
+++ b/scripts/check_packages.py
@@ -3,7 +3,7 @@
 Compared with the files of those packages are: each tool that the build command runs, each system file that CMake
 reads or links when it configures the product (a fresh configuration takes seconds), and each system header that the
 product's objects include (from the dependencies recorded by an earlier build; nothing is compiled here).
-Use: check_packages.py BUILD-FOLDER
+Usage: check_packages.py BUILD-FOLDER
 """
 
 import os
--- a/scripts/compare_runs.py
+++ b/scripts/compare_runs.py
@@ -4,7 +4,7 @@
 and left out. Prints for each site and in total: the number of pairs, how many are better, the median, minimum and
 maximum of the differences, and a verdict. It is "better" or "worse" with at least three pairs, a median beyond the
 noise of a single run, and at least three of four pairs agreeing with it; otherwise "noise" or "too few pairs".
-Use: compare_runs.py --before ENTRY ... --after ENTRY ... [--noise 0.03]
+Usage: compare_runs.py --before ENTRY ... --after ENTRY ... [--noise 0.03]
 """
 
 import argparse
--- a/scripts/deploy_build.py
+++ b/scripts/deploy_build.py
@@ -5,7 +5,7 @@
 of half a core over 15 minutes, and for the peak memory half of a 16 GB machine. If the build fails or exceeds a limit,
 the exit status is 1 and the output names the limit or shows the build's errors.
 
-usage: deploy_build.py [--root DIR] [--keep DIR] [--processor-s N] [--memory-mb N]
+Usage: deploy_build.py [--root DIR] [--keep DIR] [--processor-s N] [--memory-mb N]
 """
 
 import argparse
--- a/scripts/request_causes.py
+++ b/scripts/request_causes.py
@@ -7,7 +7,7 @@
 Worths are given per latency target: `--worth 1000=2,0.6` means that a request with a target of 1,000 ms is worth 2 if
 served in time and 0.6 if late. A generation is weighted by its size: 0.3 + 0.7 times its tokens (in + 10 x out) over
 the mean of its kind, at most 4.
-Use: request_causes.py [FILE ...] --worth MS=IN_TIME,LATE ... [--seconds N] [--svg FILE]
+Usage: request_causes.py [FILE ...] --worth MS=IN_TIME,LATE ... [--seconds N]
 """
 
 import argparse
--- a/scripts/tidy.py
+++ b/scripts/tidy.py
@@ -2,7 +2,7 @@
 
 The compile commands come from a fresh configuration, because clang-tidy cannot use another compiler's precompiled
 headers.
-Use: tidy.py [--jobs N] [--limit SECONDS] [FOLDER...]
+Usage: tidy.py [--jobs N] [--limit SECONDS] [FOLDER...]
 """
 
 import argparse
