--- a/scripts/check_files.py
+++ b/scripts/check_files.py
@@ -1,4 +1,4 @@
-"""House rules that a machine can check: file lengths, inheritance, sleeping tests."""
+"""Checks the coding rules: file and line lengths, no inheritance, no sleeps in tests, formatting."""
 import pathlib
 import re
 import shutil
@@ -7,9 +7,9 @@
 
 root = pathlib.Path(__file__).resolve().parent.parent
 folders = ("source", "programs", "platform", "tests", "scripts")
-# Processes of their own, which keep real time.
+# Separate processes that run in real time and so may sleep.
 real_time = (root / "tests" / "stand_ins", root / "tests" / "platform" / "live")
-# The HTTP library is extended by deriving from its parser, and in no other way: one line, in one file.
+# Beast's HTTP parser can be extended only by inheritance: allowed on one line of one file.
 DERIVED_FROM_LIBRARY = {"source/connection/message_parser.hpp": "public http::basic_parser<"}
 derived = dict(DERIVED_FROM_LIBRARY)
 bad = []
@@ -38,7 +38,7 @@
                 timed = any(place in path.parents for place in real_time)
                 if folder == "tests" and not timed and re.search(r"sleep", line):
                     bad.append("%s:%d sleeps" % (path.relative_to(root), number))
-bad += ["%s no longer derives from the library: take it off the list" % path for path in derived]
+bad += ["%s no longer derives from the library: remove it from the list" % path for path in derived]
 if shutil.which("clang-format"):
     sources = [
         str(path)
--- a/scripts/check_includes.py
+++ b/scripts/check_includes.py
@@ -1,16 +1,16 @@
-"""No include runs up: a source folder uses only its own files and those of the floors below.
+"""Checks the layering of includes: a source folder includes only its own files and those of lower layers.
 
-FLOORS names the folders from the ground. Those of one floor stand side by side and do not use each other; folders
-joined in one group do, until they are moved to the folder that they will be. WAITING lists the single includes that
-still run up: a new one fails the check, and so does a listed one that is gone. docs/design.md section 2.
-Use: check_includes.py [ROOT]
+LAYERS lists the layers from the lowest up. The groups of one layer must not include each other; the folders within a
+group may, until they are merged into one folder. KNOWN_VIOLATIONS lists exceptions; any other violation fails,
+and so does a listed one that no longer exists. docs/design.md section 2.
+Usage: check_includes.py [ROOT]
 """
 
 import pathlib
 import re
 import sys
 
-FLOORS = (
+LAYERS = (
     (("source/base",),),
     (("source/membership",), ("source/consensus",)),
     (("source/sequence", "source/version"),),  # to be source/configuration
@@ -27,9 +27,9 @@
 INCLUDE = re.compile(r'^\s*#\s*include\s+"([^"]+)"', re.MULTILINE)
 
 
-def floor_of(path, floors):
-    """The floor's number and the group on it that holds a path; nothing for files outside."""
-    for number, groups in enumerate(floors):
+def layer_of(path, layers):
+    """The number of the layer that contains a path, and its group; None for files outside of all layers."""
+    for number, groups in enumerate(layers):
         for group in groups:
             if any(path.startswith(folder + "/") for folder in group):
                 return number, group
@@ -37,7 +37,7 @@
 
 
 def resolved(root, includer, named):
-    """The included file, as the build finds it: beside the includer, under source/, or at the root."""
+    """The included file, searched as the build does: next to the includer, in source/, in the root."""
     for base in (root / includer.parent, root / "source", root):
         if (base / named).is_file():
             return (base / named).resolve().relative_to(root.resolve()).as_posix()
@@ -45,45 +45,45 @@
 
 
 def includes(root):
-    """All includes of the project's own files, as pairs of paths."""
+    """Yields all includes of the project's own files: includer, path as written, resolved path or None."""
     for folder in ("source", "platform", "programs"):
         for path in sorted((root / folder).rglob("*.[ch]pp")):
             includer = path.relative_to(root)
-            if includer.name.startswith("precompiled_"):  # for the build alone: nothing includes them
+            if includer.name.startswith("precompiled_"):  # used only by the build; no source includes them
                 continue
             for named in INCLUDE.findall(path.read_text()):
                 yield includer, named, resolved(root, includer, named)
 
 
-def judge(root, floors=FLOORS, waiting=frozenset(WAITING)):
-    """What is wrong, each with its place; second, how many includes were looked at."""
-    bad, met, count = [], set(), 0
+def find_violations(root, layers=LAYERS, known=frozenset(KNOWN_VIOLATIONS)):
+    """The violations found, and the number of includes checked."""
+    bad, seen, count = [], set(), 0
     for includer, named, included in includes(root):
         count += 1
         if included is None:
             bad.append('%s includes "%s", which is not found' % (includer, named))
             continue
-        below, above = floor_of(included, floors), floor_of(includer.as_posix(), floors)
-        if below is None or above is None:
-            stranger = included if below is None else includer
-            bad.append("%s stands on no floor" % stranger)
+        lower, upper = layer_of(included, layers), layer_of(includer.as_posix(), layers)
+        if lower is None or upper is None:
+            outsider = included if lower is None else includer
+            bad.append("%s is in no layer" % outsider)
             continue
-        if below[1] == above[1] or below[0] < above[0]:
+        if lower[1] == upper[1] or lower[0] < upper[0]:
             continue
         pair = (includer.as_posix(), included)
-        met.add(pair)
-        if pair not in waiting:
-            bad.append("%s includes %s: up, or to its side" % pair)
-    bad += ["%s no longer includes %s: take it off the list" % pair for pair in sorted(waiting - met)]
+        seen.add(pair)
+        if pair not in known:
+            bad.append("%s includes %s: a higher layer, or a sibling group" % pair)
+    bad += ["%s no longer includes %s: remove it from the list" % pair for pair in sorted(known - seen)]
     return sorted(set(bad)), count
 
 
 def main(root):
-    bad, count = judge(root)
+    bad, count = find_violations(root)
     for item in bad:
         print(item)
-    waiting = ", %d waiting" % len(WAITING) if WAITING else ""
-    print("includes: %s (%d looked at%s)" % ("none runs up" if not bad else "%d wrong" % len(bad), count, waiting))
+    known = ", %d known violations" % len(KNOWN_VIOLATIONS) if KNOWN_VIOLATIONS else ""
+    print("includes: %s (%d checked%s)" % ("layering kept" if not bad else "%d wrong" % len(bad), count, known))
     return 1 if bad else 0
 
 
--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -1,4 +1,4 @@
-// A ticket's way through its connection: entry, waiting, tries, one outcome.
+// The lifecycle of an inference request on its connection: admission, queueing, tries, one outcome.
 // docs/design.md sections 9 and 10.
 #include "connection/session.hpp"
 #include "process/clock.hpp"
@@ -24,14 +24,14 @@
         socket.non_blocking(true, failure);
         auto const size = socket.receive(asio::buffer(&peeked, 1), tcp::socket::message_peek, failure);
         if (failure == asio::error::would_block) continue;
-        if (failure || size == 0) co_return false;    // the caller went away
-        co_await slot->signal.async_wait(use_tuple);  // more sent early: read after this ticket
+        if (failure || size == 0) co_return false;    // the caller disconnected
+        co_await slot->signal.async_wait(use_tuple);  // a pipelined request: read after this one
     }
     co_return true;
 }
 
-// Into the buffer, and out of it with a placement or a shedding.
-auto Session::enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
+// Queues the request until it is placed or shed.
+auto Session::wait_for_placement(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
     auto const number = lifecycle.inference.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
@@ -104,7 +104,7 @@
     if (node.resting_now) node.wake();
     try {
         co_return co_await follow(request, lifecycle);
-    } catch (...) {  // its connection ends; no place at a replica may stay taken
+    } catch (...) {  // the connection ends; its slot at the replica must be released
         node.table.abandon(lifecycle.inference.number);
         node.release(lifecycle.placement.replica, lifecycle.inference.number);
         throw;
@@ -120,7 +120,7 @@
         if (!step.release_replica.empty()) node.release(step.release_replica, lifecycle.inference.number);
         if (step.release_claim) node.make_claim(lifecycle.inference, true, {});
         switch (step.step) {
-            case Step::enqueue: step = co_await enter_buffer(lifecycle); break;
+            case Step::enqueue: step = co_await wait_for_placement(lifecycle); break;
             case Step::claim: step = co_await claim(lifecycle); break;
             case Step::interpret: {
                 auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
@@ -130,7 +130,7 @@
             }
             case Step::send: step = co_await send_try(request, lifecycle, usable); break;
             case Step::answer_shed: co_return co_await shed(request, step.reason, step.retry_after);
-            case Step::answer_failure:  // of relayed requests alone
+            case Step::answer_failure:  // occurs only for relayed requests
             case Step::answer_unknown: co_return co_await unknown(request, step.reason);
             case Step::answer_refused:
                 if (!node.refusal_leaves(step.status)) co_return co_await shed(request, "not-fresh", 1);
--- a/source/connection/message_reader.cpp
+++ b/source/connection/message_reader.cpp
@@ -13,40 +13,42 @@
 
 enum class Goal : int { head, some, whole };
 
-constexpr auto most_read_at_once = std::size_t{64U << 10U};
-// `0 CR LF CR LF`. With the first chunk's header the library asserts that as many are there, though fewer may be.
-constexpr auto least_chunked_body = std::size_t{5};
+constexpr auto max_read_size = std::size_t{64U << 10U};
+// `0 CR LF CR LF`. When it parses the first chunk header, Beast asserts that this many bytes are buffered, although
+// fewer may have arrived.
+constexpr auto min_chunked_body = std::size_t{5};
 
-auto note_fault(char const* what) -> void {
+auto report_library_fault(char const* what) -> void {
     ++message_reader_faults();
     write_log(Level::failure, "message-reader-fault", {{"what", what}});
 }
 
 template <bool is_request>
-auto note_malformed(error_code const& failure) -> void {
+auto report_malformed(error_code const& failure) -> void {
     if (is_request || !is_malformed(failure)) return;
     ++malformed_answers();
     write_log(Level::debug, "answer-malformed", {{"what", failure.message()}});
 }
 
-auto no_room() -> error_code { return make_error_code(boost::system::errc::not_enough_memory); }
+auto not_enough_memory_error() -> error_code { return make_error_code(boost::system::errc::not_enough_memory); }
 
-// Calls the library on input. What it throws, for want of room or by an assertion, is an error of this message.
+// Runs a Beast operation on input. An exception (out of memory, or a failed assertion) becomes the error code of this
+// message.
 template <typename Operation>
 auto on_input(error_code& failure, Operation operation) -> void {
     try {
         auto const scope = InputScope();
         operation();
     } catch (std::bad_alloc const& thrown) {
-        note_fault(thrown.what());
-        failure = no_room();
+        report_library_fault(thrown.what());
+        failure = not_enough_memory_error();
     } catch (std::exception const& thrown) {
-        note_fault(thrown.what());
+        report_library_fault(thrown.what());
         failure = make_error_code(boost::system::errc::protocol_error);
     }
 }
 
-// Parses what is buffered; how many bytes were used.
+// Parses the buffered bytes; returns how many were consumed.
 template <bool is_request>
 auto parse(beast::flat_buffer& buffer, MessageParser<is_request>& parser, error_code& failure) -> std::size_t {
     auto used = std::size_t{0};
@@ -65,7 +67,7 @@
 
 template <bool is_request>
 auto can_parse(beast::flat_buffer const& buffer, MessageParser<is_request> const& parser) -> bool {
-    auto const least = parser.awaits_first_chunk() ? least_chunked_body : std::size_t{1};
+    auto const least = parser.awaits_first_chunk() ? min_chunked_body : std::size_t{1};
     return buffer.size() >= least;
 }
 
@@ -76,7 +78,7 @@
     return goal == Goal::some && used > 0;
 }
 
-// Of the buffer once `more` bytes can be put into it: it grows to twice what it holds, or to what is wanted.
+// The buffer's capacity after preparing `more` bytes: flat_buffer grows to twice its size, or to what is needed.
 auto capacity_with(beast::flat_buffer const& buffer, std::size_t more) -> std::size_t {
     auto const least = buffer.size() + more;
     return least <= buffer.capacity() ? buffer.capacity() : std::max(2 * buffer.size(), least);
@@ -86,22 +88,22 @@
 auto read_until(Goal goal, Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<error_code> {
     parser.eager(goal != Goal::head);
-    if (!parser.hold_buffer(buffer.capacity())) co_return no_room();
+    if (!parser.hold_buffer(buffer.capacity())) co_return not_enough_memory_error();
     if (goal != Goal::some && reached(goal, parser, 0)) co_return error_code();
     while (true) {
         if (can_parse(buffer, parser)) {
             auto failure = error_code();
             auto const used = parse(buffer, parser, failure);
             if (failure && failure != http::error::need_more) {
-                note_malformed<is_request>(failure);
+                report_malformed<is_request>(failure);
                 co_return failure;
             }
             if (reached(goal, parser, used)) co_return error_code();
             if (used > 0 && !failure) continue;
         }
         if (parser.is_header_done() && buffer.size() > chunk_framing_limit) co_return http::error::bad_chunk;
-        auto const wanted = beast::read_size(buffer, most_read_at_once);
-        if (!parser.hold_buffer(capacity_with(buffer, wanted))) co_return no_room();
+        auto const wanted = beast::read_size(buffer, max_read_size);
+        if (!parser.hold_buffer(capacity_with(buffer, wanted))) co_return not_enough_memory_error();
         auto const room = buffer.prepare(wanted);
         auto const [failure, size] = co_await stream.async_read_some(room, use_tuple);
         if (failure == asio::error::eof) co_return parse_end(parser);
@@ -135,7 +137,7 @@
 auto read_final_head(
     beast::tcp_stream& stream, beast::flat_buffer& buffer, std::optional<AnswerParser>& parser,
     boost::optional<std::uint64_t> body_limit) -> awaitable<error_code> {
-    for (auto count = 0; count <= most_interim_answers; ++count) {
+    for (auto count = 0; count <= max_interim_answers; ++count) {
         parser.emplace();
         parser->body_limit(body_limit);
         if (auto const failure = co_await read_head(stream, buffer, *parser); failure) co_return failure;
--- a/source/connection/relay_reading.cpp
+++ b/source/connection/relay_reading.cpp
@@ -1,4 +1,4 @@
-// Reading a client's requests, and what becomes of those that cannot be read. docs/platform.md section 4.
+// Reads a client's requests and answers those that cannot be read. docs/platform.md section 4.
 #include "connection/lingering_close.hpp"
 #include "connection/message_reader.hpp"
 #include "connection/relay_session.hpp"
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Microseconds longest_wait = 24 * 3'600 * one_second;  // timers take no configured time beyond
+constexpr Microseconds max_timeout = 24 * 3'600 * one_second;  // upper bound for configured timeouts
 constexpr auto first_read_bytes = std::size_t{4U << 10U};
 constexpr auto body_read_bytes = std::size_t{64U << 10U};
 
 }  // namespace
 
 auto RelaySession::serve() -> awaitable<void> {
-    probe_silence(client.socket());
+    enable_keepalive_probes(client.socket());
     while (!node.finished) {
         auto const limits = [&] {
             auto const current = node.snapshot.load();
@@ -27,7 +27,7 @@
         auto parser = RequestParser();
         parser.count_in(room);
         if (auto const failure = co_await read_request(limits, parser); failure) {
-            co_await answer_unread(failure);
+            co_await answer_read_error(failure);
             co_return;
         }
         release_buffer(buffer, parser);
@@ -39,11 +39,11 @@
     client.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// A connection that rests holds no more than a small buffer; a stopping node lets go of it soon.
+// An idle connection holds only a small buffer; a stopping node closes it after 300 ms.
 auto RelaySession::await_request(RequestLimits const& limits) -> awaitable<bool> {
     buffer = beast::flat_buffer();
     client.expires_after(std::chrono::microseconds(
-        node.stopping ? 300 * one_millisecond : std::clamp(limits.idle_time, one_second, longest_wait)));
+        node.stopping ? 300 * one_millisecond : std::clamp(limits.idle_time, one_second, max_timeout)));
     auto const [failure, size] = co_await client.async_read_some(buffer.prepare(first_read_bytes), use_tuple);
     if (failure) co_return false;
     buffer.commit(size);
@@ -54,17 +54,17 @@
     -> awaitable<boost::system::error_code> {
     parser.body_limit(static_cast<std::uint64_t>(limits.body_bytes));
     parser.limit_head(head_limit(limits.header_bytes));
-    client.expires_after(std::chrono::microseconds(std::min(limits.header_time, longest_wait)));
+    client.expires_after(std::chrono::microseconds(std::min(limits.header_time, max_timeout)));
     if (auto const failure = co_await read_head(client, buffer, parser); failure) co_return failure;
     if (parser.is_done()) co_return boost::system::error_code();
     if (beast::iequals(parser.get()[http::field::expect], "100-continue"))
         co_await write_all("HTTP/1.1 100 Continue\r\n\r\n");
     make_body_buffer(parser);
-    client.expires_after(std::chrono::microseconds(std::min(limits.idle_time, longest_wait)));
+    client.expires_after(std::chrono::microseconds(std::min(limits.idle_time, max_timeout)));
     co_return co_await read_whole(client, buffer, parser);
 }
 
-// A body is read through no more than it has left, and through what the head has needed where there is no room.
+// Enlarges the read buffer to the rest of the body, 64 KiB at most; without memory for that, the head's buffer is used.
 auto RelaySession::make_body_buffer(RequestParser& parser) -> void {
     auto const left = parser.content_length_remaining();
     auto const wanted =
@@ -72,8 +72,8 @@
     if (wanted > buffer.capacity() && parser.hold_buffer(wanted)) buffer.reserve(wanted);
 }
 
-// The answer to a request that was not read to its end, if there is anyone to take it.
-auto RelaySession::answer_unread(boost::system::error_code failure) -> awaitable<void> {
+// Answers a request that could not be read completely, if the error leaves a client that can receive the answer.
+auto RelaySession::answer_read_error(boost::system::error_code failure) -> awaitable<void> {
     auto bad = HttpRequest(http::verb::get, "/", 11);
     bad.keep_alive(false);
     if (failure == boost::system::errc::not_enough_memory) {
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -15,14 +15,14 @@
 
 constexpr auto not_fresh = "not-fresh";
 
-// The number of the last event that the client has; -1 where it names none.
+// The number of the last event that the client received; -1 if it gives none.
 auto event_number(std::string_view text) -> std::int64_t {
     auto number = std::int64_t{-1};
     auto const [end, failure] = std::from_chars(text.data(), text.data() + text.size(), number);
     return failure == std::errc() && end == text.data() + text.size() ? std::max<std::int64_t>(number, -1) : -1;
 }
 
-// Watches the client for as long as its request is under way.
+// Watches the client while its request is in progress.
 struct WatchScope {
     RelaySession& session;
     explicit WatchScope(RelaySession& watching) : session(watching) { session.begin_watch(); }
@@ -33,7 +33,7 @@
 }  // namespace
 
 auto RelaySession::write_all(std::string const& bytes) -> awaitable<bool> {
-    client.expires_after(std::chrono::seconds(10));  // a client that takes nothing is let go
+    client.expires_after(std::chrono::seconds(10));  // drops a client that stops reading
     auto const [failure, size] = co_await asio::async_write(client, asio::buffer(bytes), use_tuple);
     co_return !failure;
 }
@@ -57,8 +57,8 @@
     co_return co_await write_all(head) && keep;
 }
 
-// One snapshot gives the verdict and the sequence that goes with it; the proof is read first (design 8.2.2).
-auto RelaySession::judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement {
+// Takes verdict and sequence from the same snapshot; the time of the lease proof is read before it (design 8.2.2).
+auto RelaySession::interpret_request(HttpRequest const& request, Microseconds arrived_at) const -> RelayInterpretation {
     auto const proven = node.proven_at.load();
     auto const current = node.snapshot.load();
     return {
@@ -73,26 +73,26 @@
         ++node.counters.refused;
         co_return co_await refuse(request, 503, "this node stops", short_retry_after);
     }
-    // A node that has just started waits a little for its first configuration.
+    // A node that has just started waits for its first configuration: at most 1.5 s, and only in its first 4 s.
     for (auto count = 0;
          count < 30 && node.snapshot.load()->rules->empty() && clock_now() - node.started_at < 4 * one_second; ++count)
         co_await pause(50 * one_millisecond);
-    auto judgement = judge(request, now);
-    auto const& verdict = judgement.verdict.verdict;
+    auto interpretation = interpret_request(request, now);
+    auto const& verdict = interpretation.verdict.verdict;
     if (verdict.kind == Verdict::Kind::answer) {
         ++node.counters.refused;
         auto const status = verdict.status;
-        if (!node.may_refuse(judgement.proven))
+        if (!node.may_refuse(interpretation.proven))
             co_return co_await refuse(request, 503, "no fresh configuration", short_retry_after);
-        node.note_refusal(status, judgement.rules);
+        node.note_refusal(status, interpretation.rules);
         co_return co_await refuse(request, status, verdict.reason, status == 503 ? short_retry_after : "");
     }
     auto const counted = CountedScope(node.open_inferences);
     auto const watched = WatchScope(*this);
-    co_return co_await run(request, std::move(judgement));
+    co_return co_await run(request, std::move(interpretation));
 }
 
-auto RelaySession::wait_for_place(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
+auto RelaySession::wait_for_placement(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
     auto const number = lifecycle.inference.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
@@ -117,18 +117,18 @@
     co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
 }
 
-auto RelaySession::run(HttpRequest const& request, RelayJudgement judgement) -> awaitable<bool> {
-    auto const rules = judgement.verdict.rules;  // keeps the route
-    auto const& route = *judgement.verdict.route;
+auto RelaySession::run(HttpRequest const& request, RelayInterpretation interpretation) -> awaitable<bool> {
+    auto const rules = interpretation.verdict.rules;  // keeps the route alive
+    auto const& route = *interpretation.verdict.route;
     auto lifecycle = RequestLifecycle();
-    lifecycle.inference = judgement.verdict.verdict.inference;
+    lifecycle.inference = interpretation.verdict.verdict.inference;
     lifecycle.inference.number = node.next_request_number++;
-    lifecycle.rules = judgement.rules;
+    lifecycle.rules = interpretation.rules;
     auto answer = RelayAnswer();
     auto usable = false;
     try {
-        usable = co_await follow(request, std::move(judgement), lifecycle, answer);
-    } catch (...) {  // its connection ends; no place at a replica may stay taken
+        usable = co_await follow(request, std::move(interpretation), lifecycle, answer);
+    } catch (...) {  // the connection ends; its slot at the replica must be released
         node.table.abandon(lifecycle.inference.number);
         node.release(lifecycle.placement.replica, lifecycle.inference.number);
         throw;
@@ -138,11 +138,11 @@
     co_return usable;
 }
 
-// The course of one request: the same one that the product's own tickets take.
+// Drives the lifecycle of one relayed request; requests on the product's own API have the same one.
 auto RelaySession::follow(
-    HttpRequest const& request, RelayJudgement judgement, RequestLifecycle& lifecycle, RelayAnswer& answer)
+    HttpRequest const& request, RelayInterpretation interpretation, RequestLifecycle& lifecycle, RelayAnswer& answer)
     -> awaitable<bool> {
-    auto judged = std::move(judgement.verdict);
+    auto judged = std::move(interpretation.verdict);
     auto const last = field_of(request, node.form->headers.last_event);
     if (!last.empty() && judged.route->resumable) answer.events.last = event_number(last);
     for (auto step = lifecycle.begin();;) {
@@ -152,13 +152,13 @@
         switch (step.step) {
             case Step::enqueue: {
                 auto const entered_at = clock_now();
-                step = co_await wait_for_place(lifecycle);
+                step = co_await wait_for_placement(lifecycle);
                 answer.trace.waited += clock_now() - entered_at;
                 break;
             }
             case Step::interpret: {
                 auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
-                auto later = judge(request, lifecycle.inference.arrived_at);
+                auto later = interpret_request(request, lifecycle.inference.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
                 step = lifecycle.reinterpreted(verdict, later.rules, facts);
@@ -173,7 +173,8 @@
                 auto const result = co_await send_try(request, judged, lifecycle, answer);
                 answer.trace.failure = result.end == TryEnd::answered ? std::string() : result.reason;
                 node.try_ended(replica, lifecycle.inference, result.end, result.reason, sent_at);
-                if (result.end != TryEnd::answered && answer.head_sent) answer.keep = false;  // visibly cut
+                if (result.end != TryEnd::answered && answer.head_sent)
+                    answer.keep = false;  // truncation stays visible
                 if (result.end != TryEnd::answered)
                     write_log(
                         Level::debug, "try-ended",
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -1,4 +1,4 @@
-// Sending a try, its answer's head, its end. docs/platform.md section 5.
+// Sends a try, reads the head of its response, and derives its result. docs/platform.md section 5.
 #include "connection/relay_try.hpp"
 
 #include "process/clock.hpp"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Microseconds connect_limit = 600 * one_millisecond;
-constexpr Microseconds forgotten_within = 10 * one_millisecond;  // a reset that fast follows no work
+constexpr Microseconds stale_reset_window = 10 * one_millisecond;  // a reset this soon means that no work was begun
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     return made;
 }
 
-// A client that goes away ends the run.
+// Closes the replica connection when the client disconnects; that cancels the run.
 auto RelayTry::close_when_client_leaves() -> void {
     session.watch->on_gone = [this] {
         boost::system::error_code ignored;
@@ -33,14 +33,14 @@
     };
 }
 
-// A reset takes back what the replica has not read yet; a mere end comes after it.
+// A reset discards data that the replica has not read yet; after an orderly close it would still read that data.
 auto RelayTry::reset_on_close(bool wanted) -> void {
     boost::system::error_code ignored;
     connection->stream.socket().set_option(asio::socket_base::linger(wanted, 0), ignored);
 }
 
-// Where this request was sent to this replica before, a late answer to that
-// would pass for the answer to this try: only a new connection tells them apart.
+// Opens a new connection if this request was sent to this replica before: on a pooled one, a late response to the
+// earlier try could be taken for the response to this one.
 auto RelayTry::connect() -> awaitable<bool> {
     auto const& placement = lifecycle.placement;
     auto const first_there = answer.tried.insert(placement.replica).second;
@@ -57,46 +57,46 @@
         co_return false;
     }
     facts.written = BytesWritten::none;
-    co_return !session.look_for_client();
+    co_return !session.check_client_left();
 }
 
 auto RelayTry::read_head() -> awaitable<bool> {
     auto const began = clock_now();
-    auto const end = co_await exchange->read_own_head(std::min(until, begin_by));
+    auto const end = co_await exchange->read_own_head(std::min(deadline, begin_by));
     switch (end) {
         case ReplicaExchange::HeadEnd::own_answer: co_return true;
         case ReplicaExchange::HeadEnd::timed_out:
             reason = "deadline";
-            note_recall();
+            record_recall();
             break;
-        case ReplicaExchange::HeadEnd::no_answer: reason = "no-answer"; break;
+        case ReplicaExchange::HeadEnd::malformed: reason = "no-answer"; break;
         case ReplicaExchange::HeadEnd::broke: reason = "replica-broke-before-its-answer"; break;
     }
     auto const now = clock_now();
-    auto const at_once = end == ReplicaExchange::HeadEnd::broke && now - began < forgotten_within;
+    auto const at_once = end == ReplicaExchange::HeadEnd::broke && now - began < stale_reset_window;
     if (at_once && facts.connection == ConnectionUse::reused && !client_left())
-        node.pool.forgotten(connection->rested, now);
+        node.pool.record_stale_connection(connection->idle_before_reuse, now);
     co_return false;
 }
 
 auto RelayTry::give_back() -> void {
-    session.watch->on_gone = nullptr;  // from here on the connection may be another request's
+    session.watch->on_gone = nullptr;  // from here on another request may use the connection
     if (!exchange->reusable() || node.finished || client_left()) return;
     if (may_be_recalled()) reset_on_close(false);
     connection->idle_limit = advertised_idle_limit(exchange->parser->get()[http::field::keep_alive]);
     node.pool.give_back(lifecycle.placement.replica, std::move(connection), clock_now());
 }
 
-auto RelayTry::take_failure() -> awaitable<void> {
+auto RelayTry::read_failure() -> awaitable<void> {
     auto& parser = *exchange->parser;
     auto const& message = parser.get();
     auto const status = message.status;
     auto const says_not_run = message.fields.find(node.form->headers.not_run) != nullptr || status == 421;
-    connection->stream.expires_after(answer_patience());
+    connection->stream.expires_after(answer_timeout());
     parser.limit_stored_body(ReplicaExchange::stored_body_bytes);
     parser.count_in(answer.failure_room.emplace(node.message_memory));
     auto const failure = co_await read_whole(connection->stream, connection->buffer, parser);
-    auto const not_run = says_not_run && !is_malformed(failure);  // one that is merely cut has said so in a whole head
+    auto const not_run = says_not_run && !is_malformed(failure);  // a truncated body leaves the complete head valid
     facts.received = not_run ? Received::not_run : Received::cut_before_output;
     reason = not_run ? refusal_reason(status) : "replica-broke";
     if (failure) co_return;
@@ -125,22 +125,22 @@
     }
     auto const now = clock_now();
     auto const limits = node.work_limits_at(lifecycle.placement.replica, now);
-    attempt.until = lifecycle.inference.deadline;
+    attempt.deadline = lifecycle.inference.deadline;
     attempt.begin_by = limits.begin_by;
     if (attempt.may_be_recalled()) attempt.reset_on_close(true);
     auto const& form = *node.form;
     auto const identity = request[form.headers.request_identity];
-    auto asked = ExchangeRequest();
+    auto exchange_request = ExchangeRequest();
     auto const time_left = std::min(lifecycle.inference.deadline, limits.end_by) - now;
-    asked.head = head_for_replica(form, request, judged, lifecycle, answer.events.last, time_left);
-    asked.body = request.body();
-    asked.identity_field = form.headers.request_identity;
-    asked.identity = identity;
-    asked.head_only = request.method() == http::verb::head;
-    attempt.exchange.emplace(*attempt.connection, std::move(asked));
+    exchange_request.head = head_for_replica(form, request, judged, lifecycle, answer.events.last, time_left);
+    exchange_request.body = request.body();
+    exchange_request.identity_field = form.headers.request_identity;
+    exchange_request.identity = identity;
+    exchange_request.head_only = request.method() == http::verb::head;
+    attempt.exchange.emplace(*attempt.connection, std::move(exchange_request));
     if (!co_await attempt.read_head()) co_return attempt.result();
-    if (attempt.exchange->parser->get().status / 100 == 2) co_await attempt.pass_success();
-    else co_await attempt.take_failure();
+    if (attempt.exchange->parser->get().status / 100 == 2) co_await attempt.relay_success();
+    else co_await attempt.read_failure();
     co_return attempt.result();
 }
 
--- a/source/connection/replica_exchange.cpp
+++ b/source/connection/replica_exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Bytes or an end wait to be read.
+// Whether unread bytes, an end of stream or an error are pending.
 auto readable(tcp::socket& socket) -> bool {
     auto byte = char{};
     auto const size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -28,7 +28,7 @@
 
 auto head_end_of(boost::system::error_code const& failure) -> ReplicaExchange::HeadEnd {
     if (failure == beast::error::timeout) return ReplicaExchange::HeadEnd::timed_out;
-    return is_malformed(failure) ? ReplicaExchange::HeadEnd::no_answer : ReplicaExchange::HeadEnd::broke;
+    return is_malformed(failure) ? ReplicaExchange::HeadEnd::malformed : ReplicaExchange::HeadEnd::broke;
 }
 
 }  // namespace
@@ -36,11 +36,11 @@
 auto ReplicaExchange::bytes_written() const -> BytesWritten {
     if (written == 0) return BytesWritten::none;
     if (written < request.head.size()) return BytesWritten::part_of_head;
-    return written < whole_size() ? BytesWritten::head : BytesWritten::whole;
+    return written < request_size() ? BytesWritten::head : BytesWritten::whole;
 }
 
 auto ReplicaExchange::reusable() const -> bool {
-    return written == whole_size() && !write_failed && parser && parser->is_done() && !parser->need_eof() &&
+    return written == request_size() && !write_failed && parser && parser->is_done() && !parser->need_eof() &&
         parser->get().keep_alive;
 }
 
@@ -54,24 +54,24 @@
     return failure;
 }
 
-auto ReplicaExchange::send_on(Microseconds until) -> awaitable<void> {
+auto ReplicaExchange::send_more(Microseconds until) -> awaitable<void> {
     auto& socket = connection.stream.socket();
     boost::system::error_code ignored;
     socket.non_blocking(true, ignored);
-    while (!write_failed && written < whole_size()) {
+    while (!write_failed && written < request_size()) {
         if (written > 0 && readable(socket)) co_return;
         if (auto const failure = write_some(); failure == asio::error::would_block) {
             if (clock_now() >= until) co_return;
             co_await wait_to_write_or_read(socket, until);
         } else if (failure) {
-            write_failed = true;  // an early answer may still wait to be read
+            write_failed = true;  // an early response may still be readable
         }
     }
 }
 
 auto ReplicaExchange::read_one_head(Microseconds until) -> awaitable<boost::system::error_code> {
     parser.emplace();
-    parser->body_limit(boost::none);  // passed on as it comes
+    parser->body_limit(boost::none);  // the body is streamed, not stored
     parser->limit_head(header_bytes);
     if (request.head_only) parser->skip(true);
     connection.stream.expires_after(left_until(until));
@@ -80,7 +80,7 @@
 
 auto ReplicaExchange::is_own() const -> bool { return parser->get()[request.identity_field] == request.identity; }
 
-auto ReplicaExchange::skip_stranger() -> awaitable<bool> {
+auto ReplicaExchange::skip_unmatched_answer() -> awaitable<bool> {
     ++unmatched_answers;
     parser->limit_stored_body(stored_body_bytes);
     auto const failure = co_await read_whole(connection.stream, connection.buffer, *parser);
@@ -89,13 +89,13 @@
 
 auto ReplicaExchange::read_own_head(Microseconds until) -> awaitable<HeadEnd> {
     while (true) {
-        if (connection.buffer.size() == 0) co_await send_on(until);
+        if (connection.buffer.size() == 0) co_await send_more(until);
         if (auto const failure = co_await read_one_head(until); failure) co_return head_end_of(failure);
         if (!is_interim(parser->get().status)) {
             if (is_own()) co_return HeadEnd::own_answer;
-            if (!co_await skip_stranger()) co_return HeadEnd::broke;
+            if (!co_await skip_unmatched_answer()) co_return HeadEnd::broke;
         }
-        if (clock_now() >= until) co_return HeadEnd::timed_out;  // also while more keeps coming
+        if (clock_now() >= until) co_return HeadEnd::timed_out;  // even while more input arrives
     }
 }
 
--- a/source/connection/replica_pool.cpp
+++ b/source/connection/replica_pool.cpp
@@ -6,7 +6,7 @@
 
 namespace dockrock {
 
-auto probe_silence(tcp::socket& socket) -> void {
+auto enable_keepalive_probes(tcp::socket& socket) -> void {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -20,16 +20,16 @@
 }
 
 auto ReplicaPool::take(std::string const& replica, Microseconds now) -> ReplicaConnectionPointer {
-    if (now >= rest_limit_ends) rest_limit = longest_rest;
+    if (now >= learned_limit_ends_at) learned_idle_limit = max_idle_time;
     auto const found = idle.find(replica);
     if (found == idle.end()) return nullptr;
     auto& list = found->second;
     while (!list.empty()) {
         auto connection = std::move(list.back());
         list.pop_back();
-        connection->rested = now - connection->idle_since;
-        if (connection->rested < std::min(connection->idle_limit, rest_limit) &&
-            is_quiet(connection->stream.socket())) {
+        connection->idle_before_reuse = now - connection->idle_since;
+        if (connection->idle_before_reuse < std::min(connection->idle_limit, learned_idle_limit) &&
+            is_open_and_idle(connection->stream.socket())) {
             ++reused;
             return connection;
         }
@@ -39,7 +39,7 @@
 }
 
 namespace {
-constexpr auto longest_told_seconds = std::int64_t{3'600};
+constexpr auto max_advertised_seconds = std::int64_t{3'600};
 }  // namespace
 
 auto advertised_idle_limit(std::string_view text) -> Microseconds {
@@ -47,19 +47,19 @@
     if (place == std::string_view::npos) return 4 * one_second;
     auto seconds = std::int64_t{0};
     std::from_chars(text.data() + place + 8, text.data() + text.size(), seconds);
-    seconds = std::clamp<std::int64_t>(seconds, 0, longest_told_seconds);
+    seconds = std::clamp<std::int64_t>(seconds, 0, max_advertised_seconds);
     return seconds * one_second - std::min<Microseconds>(one_second, seconds * one_second / 2);
 }
 
-auto ReplicaPool::forgotten(Microseconds rested, Microseconds now) -> void {
-    if (now >= rest_limit_ends) rest_limit = longest_rest;
-    rest_limit = std::min(rest_limit, std::max(least_rest, rested / 2));
-    rest_limit_ends = now + rest_memory;
+auto ReplicaPool::record_stale_connection(Microseconds idle_before_reuse, Microseconds now) -> void {
+    if (now >= learned_limit_ends_at) learned_idle_limit = max_idle_time;
+    learned_idle_limit = std::min(learned_idle_limit, std::max(min_idle_time, idle_before_reuse / 2));
+    learned_limit_ends_at = now + learned_limit_lifetime;
 }
 
 auto ReplicaPool::give_back(std::string const& replica, ReplicaConnectionPointer connection, Microseconds now) -> void {
     auto& list = idle[replica];
-    if (list.size() >= most_idle || connection->buffer.size() > 0) return;
+    if (list.size() >= max_idle_connections || connection->buffer.size() > 0) return;
     connection->idle_since = now;
     connection->stream.expires_never();
     list.push_back(std::move(connection));
@@ -82,7 +82,7 @@
     connection->stream.expires_after(std::chrono::microseconds(limit));
     auto const [failure] = co_await connection->stream.async_connect(*endpoint, use_tuple);
     if (failure) co_return nullptr;
-    probe_silence(connection->stream.socket());
+    enable_keepalive_probes(connection->stream.socket());
     co_return connection;
 }
 
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -119,7 +119,7 @@
     update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
-    loss_tolerance.look(control, now);
+    loss_tolerance.update(control, now);
     auto const first_heard = form != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.snapshot_changed || first_heard) publish_snapshot();
     take_proof();
