--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The shell round the machines of one node. docs/design.md sections 2 and 14.
+// The I/O shell of one node: its threads, sockets, disk and loops around the state machines, which do no I/O
+// themselves. docs/design.md sections 2 and 14.
 #include <atomic>
 #include <boost/leaf.hpp>
 #include <condition_variable>
@@ -37,18 +38,18 @@
 namespace leaf = boost::leaf;
 
 struct Node {
-    NodeSettings settings;                          // as started; what a reload changes is told to its own machine
-    std::function<Problems(NodeSettings&)> reread;  // set by the program: the settings as they are now
-    std::string settings_file;                      // looked at now and then; may be empty
+    NodeSettings settings;  // as read at the start; a reload changes the component concerned, not this
+    std::function<Problems(NodeSettings&)> reread;  // set by the program: reads the settings again
+    std::string settings_file;                      // polled for changes; may be empty
     MachineLimits limits;                           // read once, at the start
-    MemoryBudget message_memory;                    // of messages held whole: requests, calls, failures
-    RelayForm const* form = nullptr;                // where this fleet relays requests: how its wire speaks
+    MemoryBudget message_memory;                    // for buffered messages: requests, calls, failures
+    RelayForm const* form = nullptr;                // the wire protocol of a relaying fleet, otherwise null
     asio::io_context context;
     Storage storage;
     Transport transport;
-    Control control;  // touched only inside control_work
+    Control control;  // used only inside control_work
     std::atomic<Microseconds> proven_at{0};
-    LossesBorne losses_bearable;  // looked at inside control_work
+    LossesBorne losses_bearable;  // updated inside control_work
     SnapshotHolder snapshot;
     Counters counters;
     Measures measures;
@@ -57,57 +58,57 @@
     std::atomic<std::uint64_t> next_ticket{1};
     asio::signal_set stop_signals{context};
     asio::signal_set reload_signals{context};
-    bool running = false;  // the start is over
+    bool running = false;  // the start has completed
     bool control_listens = false;
-    bool stop_asked = false;  // by a signal during the start
+    bool stop_asked = false;  // a signal requested the stop during the start
     std::atomic<bool> stopping{false};
-    std::atomic<Microseconds> entry_ends{0};  // stopping: a request that is read later than this is refused; 0: none
-    std::atomic<bool> closing{false};         // stopping, and the notice is over: nothing new is taken
+    std::atomic<Microseconds> entry_ends{0};  // when stopping: requests read later than this are refused; 0: no limit
+    std::atomic<bool> closing{false};         // stopping, and the notice period has passed: no new connections
     std::atomic<bool> finished{false};
     std::atomic<bool> resting_now{false};
     std::atomic<bool> disk_loaded{false};  // the data folder's contents are known and written back
-    std::atomic<bool> disk_failed{false};  // the last operation on it failed
+    std::atomic<bool> disk_failed{false};  // the last disk operation failed
     std::atomic<Microseconds> disk_busy_since{0};
     DiskState logged_disk = DiskState::well;  // inside control_work
     std::atomic<int> open_tickets{0};
-    std::atomic<int> client_connections{0};  // at the door of clients
+    std::atomic<int> client_connections{0};  // open on the client listener
     std::uint64_t most_client_connections = no_limit;
-    std::atomic<int> open_requests{0};  // read or being read, not yet answered
+    std::atomic<int> open_requests{0};  // being read, or read and not yet answered
     std::atomic<Microseconds> last_ticket{0};
     std::atomic<bool> tick_waiting{false};
     Microseconds started_at = 0;
     std::map<std::uint64_t, std::function<void(ClaimDone)>> claim_waiters;  // inside control_work
     std::map<std::uint64_t, std::function<void(CallDone)>> call_waiters;    // inside control_work
-    std::array<std::uint64_t, partition_count> logged_epochs{};             // these three inside control_work
+    std::array<std::uint64_t, partition_count> logged_epochs{};             // this and the next two inside control_work
     std::array<bool, partition_count> logged_owned{};
-    bool load_relayed = false;                 // the table holds the same
+    bool load_relayed = false;                 // same value as in the table
     Resting resting;                           // inside control_work
-    std::atomic<Microseconds> awake_until{0};  // a ticket woke this node
+    std::atomic<Microseconds> awake_until{0};  // set when a request wakes this resting node
     Orders orders;                             // inside control_work
-    ListPace list_pace;                        // inside control_work; its bounds are set once
+    ListPace list_pace;                        // inside control_work; its limits are set once
     WeightsDuty weights_duty;                  // inside control_work
     std::atomic<bool> weights_under_way{false};
     std::mutex report_lock;
     std::map<std::string, ReplicaReport> reports;  // under report_lock
 
     using Work = WorkQueue::Work;
-    WorkQueue control_work;               // one at a time: the control machines
-    std::vector<WorkQueue> ticket_works;  // one for each worker: interpreting tickets
+    WorkQueue control_work;               // serializes all access to the control state machines
+    std::vector<WorkQueue> ticket_works;  // one for each worker: interprets inference requests
     std::atomic<std::size_t> next_ticket_work{0};
-    std::array<std::atomic<std::uint64_t>, partition_count> fences_sent{};  // the highest of each
-    std::unique_ptr<tcp::acceptor> acceptor;                                // on accept_strand alone, once running
+    std::array<std::atomic<std::uint64_t>, partition_count> fences_sent{};  // the highest fence sent, by partition
+    std::unique_ptr<tcp::acceptor> acceptor;                                // used only on accept_strand once running
     asio::strand<asio::io_context::executor_type> accept_strand{context.get_executor()};
-    ReplicaPool pool;                                     // on the one thread of a relaying node
+    ReplicaPool pool;                                     // used only on a relaying node's one thread
     std::array<std::unique_ptr<tcp::acceptor>, 3> doors;  // by RelayDoor
     std::vector<std::thread> threads;
     std::thread disk_thread;
-    std::promise<void> disk_ended;  // set by the disk's thread
+    std::promise<void> disk_ended;  // set by the disk thread
     std::mutex disk_lock;
-    std::condition_variable disk_signal;      // to the disk's thread
-    std::condition_variable disk_ready;       // from it, to the start
-    std::vector<Save> disk_queue;             // these four under disk_lock
-    std::optional<DiskHolding> disk_holding;  // loaded, not taken yet
-    bool disk_gate_open = false;              // the start is over
+    std::condition_variable disk_signal;      // wakes the disk thread
+    std::condition_variable disk_ready;       // from the disk thread to the start
+    std::vector<Save> disk_queue;             // this and the next three under disk_lock
+    std::optional<DiskHolding> disk_holding;  // loaded and not yet taken over
+    bool disk_gate_open = false;              // the start has completed
     bool disk_stop = false;
 
     auto start() -> leaf::result<void>;
@@ -117,14 +118,14 @@
     auto act_on(ControlOutput output) -> void;
     auto publish_snapshot() -> void;
     auto take_scheduling_options(SchedulingOptions options) -> void;
-    auto relay_changes() -> void;                              // how a relaying fleet's documents change
-    auto take_services(Snapshot& fresh) -> void;               // what the document says of listed replicas
+    auto relay_changes() -> void;                              // installs the change functions of a relaying fleet
+    auto take_services(Snapshot& fresh) -> void;               // applies the services document to listed replicas
     WeightsGuard weights_guard;                                // under table.lock
     auto take_replica_weights(Snapshot const& fresh) -> void;  // under table.lock
     auto tick_control() -> void;
     auto log_parts(Microseconds now) -> void;
     auto tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
-    auto judge_load(Microseconds now) -> void;                                     // whether it goes through relays
+    auto judge_load(Microseconds now) -> void;  // decides whether load goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
     auto form_anew(std::function<void(CallDone)> done) -> void;
     auto make_claim(Ticket const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
@@ -135,17 +136,17 @@
     auto facts_for(std::string const& replica) const -> CourseFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
     auto refusal_limit() const -> Microseconds { return refusal_limit_of(settings.bounds); }
-    // Looked at before the snapshot that it stands for (design 8.3).
+    // `proven`: the proof time, read before the snapshot that the refusal is based on (design 8.3).
     auto may_refuse(Microseconds proven) const -> bool;
     auto note_refusal(int status, Sequence const& sequence) -> void;
     auto take_proof() -> void;
-    auto proof_limit() const -> Microseconds { return table.granting.proof_limit; }  // fixed at start
+    auto proof_limit() const -> Microseconds { return table.granting.proof_limit; }  // fixed at the start
     auto proof_age(Microseconds now) const -> Microseconds { return now - proven_at.load(); }
     auto ready(Microseconds now) const -> bool;
     auto match_locked(Microseconds now) -> void { table.match_locked(now, proof_age(now)); }
 
     auto run_disk() -> void;
-    // Waits a while for what is being written; a disk that hangs does not hold up the end.
+    // Waits a limited time for the write in progress, so that a hung disk does not block the shutdown.
     auto stop_disk() -> void;
     auto disk_state(Microseconds now) const -> DiskState;
     auto log_disk(Microseconds now) -> void;
@@ -171,10 +172,10 @@
     auto weights_loop() -> awaitable<void>;
     auto step_weights() -> void;
     auto lease_checked(int partition, std::uint64_t fence) -> awaitable<std::optional<invariants::OrderFacts>>;
-    // The last looks at what leaves; false where it breaks an invariant and is to be held back.
+    // Invariant checks on outgoing messages, just before they are sent; false: it would break one and must not be sent.
     auto refusal_leaves(int status) const -> bool;
     auto request_leaves(Course const& course, CourseFacts const& facts) const -> bool;
-    auto last_look(Course const& course) const -> LastLook;  // the last checks once more
+    auto last_look(Course const& course) const -> LastLook;  // the same checks, once connected
     auto order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool;
     auto learn_versions(Snapshot& fresh, Snapshot const& old) const -> void;
     auto send_duty_order(DutyOrder order) -> awaitable<void>;
@@ -203,7 +204,8 @@
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
     auto stop_politely() -> awaitable<void>;
-    auto await_signals() -> void;  // from now on no signal that a platform sends ends the process by itself
+    // Installs handlers: from now on SIGTERM, SIGINT and SIGHUP no longer end the process by default.
+    auto await_signals() -> void;
     auto await_stop() -> void;
     auto await_reload() -> void;
     auto begin_stop() -> void;
@@ -212,11 +214,11 @@
     auto look_at_settings(Microseconds now) -> void;
     auto metrics_text(Microseconds now) -> std::string;
 
-    std::filesystem::file_time_type settings_time;  // in tick_loop alone, once running
+    std::filesystem::file_time_type settings_time;  // used only in tick_loop once running
     Microseconds settings_looked = 0;
-    std::set<std::string> report_loops;            // on the context's strand of report_manager
-    std::map<std::string, KeptSource> parts_read;  // under loops_lock: the sources that this node reads
-    std::set<std::string> parts_missed;            // under loops_lock: sources with a gap in what came
+    std::set<std::string> report_loops;            // under loops_lock: names that a loop polls or reads
+    std::map<std::string, KeptSource> parts_read;  // under loops_lock: the cache event sources that this node reads
+    std::set<std::string> parts_missed;            // under loops_lock: sources whose events arrived with a gap
     std::mutex loops_lock;
 };
 
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -1,11 +1,11 @@
-// This node's word of its load, to all others or to its relay. docs/design.md 9.4, 9.8.
+// Reports this node's load to all other nodes or to its relay. docs/design.md 9.4, 9.8.
 #include "process/clock.hpp"
 #include "process/log.hpp"
 #include "process/node.hpp"
 
 namespace dockrock {
 
-// Holds the table's lock on entry; it is let go before the control side is entered.
+// The caller passes the held table lock; it is released before control work is queued.
 auto Node::tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
     auto& burden = table.granting.burden;
     auto const number = static_cast<std::uint64_t>(now);
@@ -20,7 +20,8 @@
     });
 }
 
-// Where the way changes, an empty last word goes the old one: nothing counts twice.
+// When reporting switches between digests and relays, a last empty report goes the old way, so that no load counts
+// twice.
 auto Node::judge_load(Microseconds now) -> void {
     if (control.settings.load_relays_from == 0) return;
     auto const relayed = control.load_choice.relayed;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -1,6 +1,6 @@
-// Which parts of prompts the replicas and stores keep, as they tell it: late,
-// with gaps. Small fleets: each node reads every source. Larger ones: core nodes
-// share the sources and pass on what they read. docs/design.md section 9.9.
+// Follows which prompt prefixes the replicas and stores have cached, from their event streams, which are late and
+// may have gaps. In a small fleet each node reads every source; in a larger one the core nodes divide the sources
+// among themselves and forward the events. docs/design.md section 9.9.
 #include "process/clock.hpp"
 #include "process/loop_entry.hpp"
 #include "process/node.hpp"
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr Microseconds parts_interval = 300 * one_millisecond;   // events gather meanwhile
-constexpr Microseconds shared_interval = 250 * one_millisecond;  // on their way to others they wait again
-constexpr Microseconds parts_wait = 900 * one_millisecond;       // a call is held until there are some
-constexpr Microseconds members_met = 3 * one_second / 2;         // a node that just started knows few others
-constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between sources
+constexpr Microseconds parts_interval = 300 * one_millisecond;   // between calls, so that events are batched
+constexpr Microseconds shared_interval = 250 * one_millisecond;  // forwarded events wait again at the relay
+constexpr Microseconds parts_wait = 900 * one_millisecond;       // long poll: a source holds a call until it has events
+constexpr Microseconds members_met = 3 * one_second / 2;         // a node that has just started knows few members yet
+constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between two sources
 
 auto batch_of(std::string const& name, bool store, std::uint64_t since, KeptEvents const& told) -> KeptBatch {
     auto batch = KeptBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-// Who is read here: everyone by each node that takes requests, or by core nodes in shares.
+// All cache event sources: listed replicas, and the stores of the services. step_parts() picks those this node reads.
 auto Node::sources_to_read(Snapshot const& current) const -> std::map<std::string, KeptSource> {
     std::map<std::string, KeptSource> all;
     for (auto const& entry : current.list.replicas) all[entry.name] = {entry.address, entry.area, false};
@@ -57,13 +57,13 @@
     auto const direct = met && !load_relayed && !settings.front_address.empty();
     std::erase_if(
         all, [&](auto const& item) { return !direct && !control.reads_source(item.first, item.second.area); });
-    for (auto const& [name, store] : take_sources(std::move(all))) {  // a loop starts at once, and takes the lock
+    for (auto const& [name, store] : take_sources(std::move(all))) {  // unlocked: a loop starts at once and locks
         auto const& cursor = control.kept_feed.cursors[name];
         spawn_connection(counters, context.get_executor(), parts_loop(name, store, cursor.next, cursor.life));
     }
 }
 
-// The sources read from now on; those that no loop reads yet are told.
+// Sets the sources to read from now on; returns those that no loop reads yet (name, is a store).
 auto Node::take_sources(std::map<std::string, KeptSource> sources) -> std::vector<std::pair<std::string, bool>> {
     std::vector<std::pair<std::string, bool>> fresh;
     auto const guard = std::lock_guard(loops_lock);
@@ -83,7 +83,7 @@
     }
 }
 
-// Where a source that is read here is now; empty: it is gone, or another node's.
+// The current address of a source that this node reads; empty: it is gone, or another node reads it.
 auto Node::parts_address(std::string const& name) -> std::string {
     auto const guard = std::lock_guard(loops_lock);
     auto const found = parts_read.find(name);
@@ -112,7 +112,8 @@
     }
 }
 
-// What was read of a source: for this node, or for all where it is a core node.
+// Handles a batch read from a source: applies it if this node serves clients, and passes it to the control side,
+// which forwards it to other nodes.
 auto Node::parts_told(KeptBatch batch, bool restarted) -> void {
     if (!settings.front_address.empty()) take_kept(batch, batch.anew || restarted);
     in_control([this, batch = std::move(batch)]() mutable { control.kept_read(std::move(batch)); });
@@ -128,7 +129,7 @@
         auto const ask = form->events_call(since, parts_wait);
         auto const answer = co_await connection.call(address, ask, parts_wait + one_second / 2);
         auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
-        if (!told && store) {  // a batch without a life: the store does not answer
+        if (!told && store) {  // a batch without an incarnation: the store does not answer
             since = 0;
             life.clear();
             parts_told(KeptBatch{name, store, {}, 0, 0, true, {}, {}}, true);
@@ -138,7 +139,7 @@
             continue;
         }
         auto const restarted = told->life != life && !life.empty();
-        if (restarted && since != 0) {  // its events begin anew
+        if (restarted && since != 0) {  // the source's event numbers start again
             since = 0;
             life = told->life;
             parts_told(batch_of(name, store, 0, KeptEvents{told->life, 0, true, {}}), true);
@@ -152,7 +153,7 @@
     }
 }
 
-// After a gap in what came through relays: the source itself is asked once.
+// After a gap in the events that came through relays: reads the whole state once from the source itself.
 auto Node::catch_up_loop() -> awaitable<void> {
     while (!finished) {
         auto const name = next_to_catch_up();
@@ -178,7 +179,7 @@
     return parts_missed.extract(parts_missed.begin()).value();
 }
 
-// What came through the relay.
+// Applies the batches that came through the relay.
 auto Node::take_feed(std::vector<KeptFeed::Taken> const& told) -> void {
     for (auto const& [batch, gap] : told) {
         take_kept(batch, gap || batch.anew);
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -1,4 +1,4 @@
-// What a node does beyond the product's own wire where it relays requests.
+// What a node does in addition to the product's own wire protocol when it relays requests.
 // docs/platform.md section 3.
 #include "process/clock.hpp"
 #include "process/log.hpp"
@@ -8,14 +8,14 @@
 namespace dockrock {
 
 namespace {
-constexpr auto unlimited_memory = std::int64_t{1} << 40U;  // a service that keeps no prompts
+constexpr auto unlimited_memory = std::int64_t{1} << 40U;  // for a service without a prefix cache
 }  // namespace
 
-// Those that the settings name take the place of the defaults.
+// Options named in the settings override the given defaults.
 auto Node::take_scheduling_options(SchedulingOptions options) -> void {
     set_scheduling_options(settings.scheduling, options);
     table.granting.set_options(options);
-    control.load_relay.times.interval = options.relayed_interval / 2;  // a relay's sums are no staler than its words
+    control.load_relay.times.interval = options.relayed_interval / 2;  // sums are no staler than reports
 }
 
 auto Node::relay_changes() -> void {
@@ -30,12 +30,12 @@
     auto options = table.granting.options;
     options.work_outstanding = true;
     options.idle_open = true;
-    options.short_prompt = 2'048;  // one step of a replica reads as much
+    options.short_prompt = 2'048;  // tokens that a replica prefills in one step
     options.recompute_tokens_each_second = 100'000.0;
     take_scheduling_options(options);
 }
 
-// Capacity and memory are the document's to say; the list tells who is there.
+// Capacity and memory come from the services document; the list says which replicas exist.
 auto Node::take_services(Snapshot& fresh) -> void {
     auto const& rules = fresh.rules->services;
     if (!rules) return;
@@ -68,13 +68,13 @@
     weights_guard.take_named(fresh.named);
     weights_guard.take_targets(fresh.target_versions, now);
     for (auto const& [name, held] : fresh.replica_weights) {
-        auto version = std::int64_t{0};  // one model a service: the greatest number there is
+        auto version = std::int64_t{0};  // a service has one model: the highest version reported
         for (auto const& [model, number] : held.versions) version = std::max(version, number);
         auto const late = weights_guard.late(held, now);
         auto const unjudged = std::any_of(held.versions.begin(), held.versions.end(), [&](auto const& item) {
             return weights_guard.unjudged(item.first, partition_of_service(item.first), now);
         });
-        if (weights_guard.withhold(name, late))  // the leader's log tells why it takes so long
+        if (weights_guard.withhold(name, late))  // the leader's log says why the load takes so long
             write_log(Level::warning, "weights-withheld", fields("replica", name, "version", version));
         auto const closed = held.loading || late || unjudged;
         table.granting.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -1,4 +1,4 @@
-// The node's loops, and its polite stop. docs/design.md sections 13 and 14.
+// The node's main loops and its graceful stop. docs/design.md sections 13 and 14.
 #include "process/clock.hpp"
 #include "process/fatal_signals.hpp"
 #include "process/log.hpp"
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Calls travel between nodes as JSON, in which only UTF-8 can stand.
+// Calls travel between nodes as JSON, which allows only UTF-8.
 auto can_be_passed_on(std::string const& body) -> bool {
     return body.empty() || parse_json(body) || parse_json(json::serialize(json::string(body)));
 }
@@ -47,8 +47,8 @@
     }
 }
 
-// Answers and tickets are acted on as they come; the ticks are for what falls
-// due, and an idle node has little of it (design 14).
+// Answers and inference requests are handled as they arrive; ticks only serve
+// timers, of which an idle node has few (design 14).
 auto Node::tick_milliseconds() const -> int {
     if (resting_now) return 250;
     auto const relays_load = load_relayed && !settings.data_folder.empty();
@@ -139,14 +139,14 @@
     write_log(Level::information, "stopped");
 }
 
-// Not ready, duties handed over, streams finished, then out (design 13).
+// Graceful stop: report not ready, hand over leader duties, finish the open streams, then exit (design 13).
 auto Node::stop_politely() -> awaitable<void> {
     set_process_phase(ProcessPhase::stopping);
     write_log(Level::information, "stopping", fields("open_tickets", open_tickets.load()));
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     auto const limit = clock_now() + settings.stop_limit_milliseconds * one_millisecond;
     auto duties = std::make_shared<std::atomic<bool>>(true);
-    // Not ready for a while before the door shuts: whoever sends clients looks now and then.
+    // Not ready for a while before new connections are refused: load balancers poll readiness only now and then.
     auto const notice = std::min(limit, clock_now() + settings.stop_notice_milliseconds * one_millisecond);
     auto const handing_limit = std::min(limit, clock_now() + 3 * one_second);
     entry_ends = stop_entry_end(clock_now(), limit);
@@ -166,7 +166,7 @@
     closing = true;
     if (open_tickets > 0) write_log(Level::warning, "stop-limit-reached", fields("open_tickets", open_tickets.load()));
     in_control([this] { act_on(control.leave()); });
-    // The door is shut first; whoever was inside is still answered.
+    // Closes the listeners first; requests on open connections are still answered.
     asio::post(accept_strand, [this] {
         boost::system::error_code ignored;
         acceptor->close(ignored);
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -1,4 +1,4 @@
-// What a try's end means to the shared tables. docs/design.md sections 9.4 and 10.
+// How the end of a try updates the shared tables and counters. docs/design.md sections 9.4 and 10.
 #include "process/clock.hpp"
 #include "process/node.hpp"
 
@@ -8,12 +8,12 @@
     table.with([&](Granting& granting) { granting.burden.release(replica, ticket); });
 }
 
-// For the last checks. They hold what matching held: a try that matching allows
-// and the checks refuse would go round without end (design 8.3).
+// Facts for the checks just before sending. These checks use the same conditions as scheduling: a try that
+// scheduling allows and the checks refuse would be rescheduled for ever (design 8.3).
 auto Node::facts_for(std::string const& replica) const -> CourseFacts {
     auto facts = CourseFacts();
     facts.now = clock_now();
-    facts.proof_age = proof_age(facts.now);  // before the snapshot: what it proves is then in it
+    facts.proof_age = proof_age(facts.now);  // read before the snapshot, which then holds at least what is proven
     facts.proof_limit = proof_limit();
     facts.refusal_limit = refusal_limit();
     auto const current = snapshot.load();
@@ -27,7 +27,7 @@
     return work_limits(*snapshot.load(), replica, settings.bounds.weights, now);
 }
 
-// Opening a connection takes time in which rules, list and proof go on. Nothing is written yet.
+// While a connection is opened, the rules, the replica list and the proof may change. Nothing has been written yet.
 auto Node::last_look(Course const& course) const -> LastLook {
     auto const facts = facts_for(course.placement.replica);
     if (!course.may_be_sent(facts)) return LastLook::moved_on;
@@ -36,7 +36,7 @@
 
 auto Node::may_refuse(Microseconds proven) const -> bool { return clock_now() - proven <= refusal_limit(); }
 
-// What the rules refused; 503 says nothing of them.
+// Counts refusals that the configuration rules caused; a 503 has other causes.
 auto Node::note_refusal(int status, Sequence const& sequence) -> void {
     auto const now = clock_now();
     if (status != 503) sight.refused(status, sequence, proof_age(now), now);
--- a/source/process/node_types.hpp
+++ b/source/process/node_types.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Types of the shell's parts that need nothing of the node itself. docs/design.md section 14.
+// Types used by Node and its loops that do not depend on Node itself. docs/design.md section 14.
 #include <array>
 #include <cstdint>
 #include <string>
@@ -11,20 +11,20 @@
 
 namespace dockrock {
 
-// A ticket's place while it waits for a replica.
+// What the coroutine of a queued inference request waits on until a replica is assigned.
 struct Slot {
     asio::steady_timer signal;
     bool ready = false;
     explicit Slot(asio::any_io_executor const& executor) : signal(executor, asio::steady_timer::time_point::max()) {}
 };
 
-// none: this node has no data folder. loading: what it holds is not known yet.
+// none: this node has no data folder. loading: the folder's contents are not known yet.
 enum class DiskState : int { none, loading, failed, stalled, well };
 inline constexpr auto disk_state_names =
     std::to_array<std::string_view>({"none", "loading", "failed", "stalled", "well"});
 inline auto name_of(DiskState state) -> std::string_view { return disk_state_names[static_cast<std::size_t>(state)]; }
 
-// Who the disk says this node is, and what it held of the partitions.
+// The node's identity and partition states, as loaded from its disk.
 struct DiskHolding {
     std::string identity;
     std::uint64_t incarnation = 1;
@@ -36,14 +36,15 @@
 
 enum class RelayDoor : int { front, ready, operators };
 
-// A replica or store whose events are read.
+// A replica or store whose cache events are read.
 struct KeptSource {
     std::string address;
     std::string area;
     bool store = false;
 };
 
-// Whether a try may be written: not where what it rests on moved on, nor where it would break an invariant.
+// The result of the check just before a try is sent. moved_on: the rules, list or proof it relies on have changed.
+// forbidden: sending it would break an invariant.
 enum class LastLook : int { send, moved_on, forbidden };
 
 // Why a node did not start.
@@ -51,7 +52,7 @@
     std::string what;
 };
 
-// A node was told to end before it had started.
+// The node received a stop signal before its start completed.
 struct StartCancelled {};
 
 }  // namespace dockrock
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -1,5 +1,5 @@
-// Orders to replicas where they are given through a form, and the reports
-// asked for while one is under way. docs/design.md section 11.
+// Weights orders to replicas in a relaying fleet, and the reports that are
+// requested while an order is in progress. docs/design.md section 11.
 #include "process/clock.hpp"
 #include "process/log.hpp"
 #include "process/node.hpp"
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr Microseconds connect_limit = 300 * one_millisecond;
-constexpr Microseconds order_limit = 400 * one_millisecond;  // in flight
+constexpr Microseconds order_limit = 400 * one_millisecond;  // of the HTTP call
 constexpr Microseconds report_limit = 400 * one_millisecond;
 constexpr auto checks = 3;
-constexpr Microseconds holder_margin = 200 * one_millisecond;  // on top of the time between two holders' orders
+constexpr Microseconds holder_margin = 200 * one_millisecond;  // added to the wait between orders of two lease holders
 
 auto end_of(HttpAnswer const& answer) -> OrderEnd {
     if (answer.end == CallEnd::not_sent) return OrderEnd::unreachable;
@@ -69,7 +69,7 @@
 }
 
 auto Node::weights_loop() -> awaitable<void> {
-    if (settings.data_folder.empty()) co_return;  // the duty lies with the core
+    if (settings.data_folder.empty()) co_return;  // only core nodes give orders
     in_control([this] {
         weights_duty.at_once = static_cast<std::size_t>(settings.weights_at_once);
         weights_duty.bound = settings.bounds.weights;
@@ -81,8 +81,8 @@
     }
 }
 
-// True only where the lease was seen held a moment ago: a node that was
-// frozen in between looks again.
+// The order's facts, only if the lease was held within the last lease_check_age: a node
+// that was suspended in between checks again, up to `checks` times. Empty: do not send.
 auto Node::lease_checked(int partition, std::uint64_t fence) -> awaitable<std::optional<invariants::OrderFacts>> {
     for (auto count = 0; count < checks; ++count) {
         auto const seen = std::make_shared<std::atomic<Microseconds>>(-1);
@@ -104,7 +104,7 @@
     auto end = OrderEnd::unreachable;
     auto status = 0;
     if (co_await connection.open_to(order.address, connect_limit)) {
-        // What was not read when the limit passes is not sent on by the system.
+        // With a zero linger, closing drops unsent data: the kernel does not deliver the order after the limit.
         boost::system::error_code ignored;
         connection.stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
         auto const call = form->order_call(written(order, control.membership.self.identity));
