--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -1,6 +1,6 @@
-// The disk of a core node: loaded, written, and written anew after trouble, on a thread of
-// its own. A disk that is full, stalled or unreadable takes the node's duties, never the node:
-// it says so, goes on serving, and takes duties up once the disk is well. docs/design.md section 6.
+// The disk of a core node: loaded, written, and rewritten after a failure, on a thread of its own.
+// With a full, stalled or unreadable disk a node keeps serving but has no duties: it logs the state
+// and resumes its duties once the disk works again. docs/design.md section 6.
 #include <random>
 #include <utility>
 
@@ -11,11 +11,11 @@
 namespace dockrock {
 
 namespace {
-constexpr auto start_patience = std::chrono::milliseconds(600);  // then the node starts without its disk
-constexpr auto first_pause = std::chrono::milliseconds(100);     // between tries on a sick disk, doubled up to
+constexpr auto start_patience = std::chrono::milliseconds(600);  // after this the node starts without its disk
+constexpr auto first_pause = std::chrono::milliseconds(100);     // between retries on a failing disk, doubled up to
 constexpr auto longest_pause = std::chrono::milliseconds(1'000);
-constexpr auto end_patience = std::chrono::milliseconds(300);  // of a stop, for a write that is under way
-constexpr Microseconds stall_limit = 600 * one_millisecond;    // of one write or sync, as the partitions count it
+constexpr auto end_patience = std::chrono::milliseconds(300);  // at a stop, for a write in progress
+constexpr Microseconds stall_limit = 600 * one_millisecond;  // of one write or sync, the limit that the partitions use
 }  // namespace
 
 auto fresh_identity() -> std::string {
@@ -34,7 +34,7 @@
     return since != 0 && now - since > stall_limit ? DiskState::stalled : DiskState::well;
 }
 
-// Each change of the disk's state, once.
+// Logs each change of the disk's state once.
 auto Node::log_disk(Microseconds now) -> void {
     auto const state = disk_state(now);
     if (state == logged_disk || state == DiskState::none) return;
@@ -46,7 +46,7 @@
         fields("effect", "no duties until the disk is well; the node goes on serving"));
 }
 
-// False where the node stops meanwhile.
+// Waits with exponential backoff; doubles `length`. False if the node is stopping.
 auto Node::pause_disk(std::chrono::milliseconds& length) -> bool {
     auto guard = std::unique_lock(disk_lock);
     disk_signal.wait_for(guard, length, [&] { return disk_stop; });
@@ -54,7 +54,7 @@
     return !disk_stop;
 }
 
-// One try on the disk, with what `status` and the metrics show of it.
+// Runs one disk operation and updates what `status` and the metrics show of the disk.
 auto Node::try_disk(std::function<bool()> const& work) -> bool {
     auto const began = clock_now();
     disk_busy_since = began;
@@ -66,8 +66,8 @@
     return good;
 }
 
-// Reads what the folder holds and writes it back under a new life, as often as it takes. A new
-// identity only where the folder was read whole and holds no state, or a damaged one.
+// Reads the folder and writes its state back under a new incarnation, retrying until both succeed.
+// Draws a new identity only if the folder could be read and holds no state or a damaged one.
 auto Node::load_disk() -> std::optional<DiskHolding> {
     auto pause = first_pause;
     auto result = LoadResult::failed;
@@ -86,22 +86,22 @@
     return holding;
 }
 
-// What the disk holds, if it is loaded in time for the start.
+// What the disk holds, if it is loaded within start_patience.
 auto Node::await_disk() -> std::optional<DiskHolding> {
     auto guard = std::unique_lock(disk_lock);
     disk_ready.wait_for(guard, start_patience, [&] { return disk_holding.has_value(); });
     return std::exchange(disk_holding, std::nullopt);
 }
 
-// The start is over: what the disk holds is taken as soon as it is loaded.
+// The start has completed: from now on the disk's state is taken over as soon as it is loaded.
 auto Node::open_disk_gate() -> void {
     auto const guard = std::lock_guard(disk_lock);
     disk_gate_open = true;
     disk_signal.notify_all();
 }
 
-// Hands what was loaded to the start that waits for it, or to the control machines of a node
-// that started without it. False where the node stops first.
+// Hands the loaded state to the start, if it still waits, or to the control state machines of a node
+// that started without it. False if the node stops first.
 auto Node::hand_in(DiskHolding holding) -> bool {
     auto guard = std::unique_lock(disk_lock);
     disk_holding = std::move(holding);
@@ -115,7 +115,7 @@
     return true;
 }
 
-// A node that started without its disk takes up the identity and duties that the disk holds.
+// A node that started without its disk takes over the identity and duties that the disk holds.
 auto Node::take_disk(DiskHolding const& holding) -> void {
     control.take_disk(holding.identity, holding.incarnation, holding.partitions, holding.had_state, clock_now());
     write_log(
@@ -139,7 +139,7 @@
     });
 }
 
-// Until all of the batch is synced, and of what came meanwhile. False where the node stops first.
+// Returns once the whole batch is synced, after a failure by repair(). False if the node stops first.
 auto Node::write_saves(std::vector<Save> batch) -> bool {
     auto const contents = [](std::vector<Save> const& saves) {
         std::vector<SavedPartition> list;
@@ -160,7 +160,7 @@
     return true;
 }
 
-// A stalled disk stops acknowledging, never serving.
+// While the disk is stalled, changes are not acknowledged; serving goes on.
 auto Node::run_disk() -> void {
     auto holding = load_disk();
     if (!holding || !hand_in(std::move(*holding))) return;
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -1,5 +1,5 @@
-// The platform's list where it is told through a form: pages read whole by one
-// node for all. docs/design.md section 8.4.
+// Reads the platform's paged replica list in a relaying fleet; one node reads it
+// for the whole fleet. docs/design.md section 8.4.
 #include "process/clock.hpp"
 #include "process/log.hpp"
 #include "process/node.hpp"
@@ -11,8 +11,8 @@
 
 constexpr auto most_pages = std::size_t{1'000};
 
-// One that shows on two pages moved while they were read: the later word
-// counts, but a mark to leave is not undone by it.
+// A replica on two pages moved between them while they were read: the later
+// entry wins, but does not clear a drain mark.
 auto add_page(std::map<std::string, ReplicaEntry>& read, std::vector<ReplicaEntry> page) -> void {
     for (auto& entry : page) {
         auto& place = read[entry.name];
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// Every page or nothing: a replica is gone only where all of the list says so.
+// Returns the list only if every page was read: a replica counts as removed only if a complete list lacks it.
 auto Node::read_whole_list(HttpConnection& connection) -> awaitable<std::optional<ListReading>> {
     std::map<std::string, ReplicaEntry> read;
     std::string next;
@@ -50,7 +50,7 @@
     if (reading.pages == most_pages) co_return std::nullopt;
     ReplicaList list;
     for (auto& [name, entry] : read) list.replicas.push_back(std::move(entry));
-    reading.text = json::serialize(write_json(list));  // the product's own list, the same at every reader
+    reading.text = json::serialize(write_json(list));  // in the product's own format, identical whichever node reads it
     co_return reading;
 }
 
--- a/source/process/node_listen.cpp
+++ b/source/process/node_listen.cpp
@@ -1,4 +1,4 @@
-// Taking a node's addresses. docs/design.md section 13.
+// Opens the node's listeners. docs/design.md section 13.
 #include <thread>
 
 #include "process/clock.hpp"
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr auto next_try = std::chrono::milliseconds(100);
-constexpr auto backlog = 1'024;  // connections that wait to be accepted
+constexpr auto backlog = 1'024;  // connections waiting to be accepted
 
 }  // namespace
 
-// An address that a former process still holds is waited for as long as such a process has to end.
+// Retries an address that a former process still holds, for as long as such a process may take to stop.
 auto Node::take_addresses() -> leaf::result<void> {
     auto const limit = clock_now() + settings.bounds.stop;
     for (auto told = false;; told = true) {
@@ -31,7 +31,7 @@
     }
 }
 
-// What is taken already is kept; the first address that is not.
+// Keeps the listeners that are open already; returns the first failure.
 auto Node::listen_everywhere() -> std::optional<ListenFailure> {
     auto const& for_nodes = settings.control_listen.empty() ? settings.control_address : settings.control_listen;
     if (!control_listens)
--- a/source/process/storage.cpp
+++ b/source/process/storage.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr auto former_log = "log";  // of the former format: one log for both slots
+constexpr auto former_log = "log";  // of a former format: one log for both slots
 
-// The pair that a generation is written to.
+// The slot and log files that a generation is written to.
 auto slot_name(std::uint64_t generation) -> std::string { return generation % 2 == 0 ? "slot-a" : "slot-b"; }
 auto log_name(std::uint64_t generation) -> std::string { return generation % 2 == 0 ? "log-a" : "log-b"; }
 
-// The bytes of a file, none where there is no such file; nothing where it cannot be read.
+// The bytes of a file, empty if it does not exist; nullopt if it cannot be read.
 auto read_file(std::filesystem::path const& path) -> std::optional<std::string> {
     auto const descriptor = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
     if (descriptor < 0) return errno == ENOENT ? std::optional<std::string>(std::string()) : std::nullopt;
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-// Entries of older generations are passed over, a torn tail is cut. Good entries behind a bad
-// one, or of a generation whose slot is lost, mean damage: false. A log opens with an empty
-// entry, written once its slot was synced.
+// Skips entries of older generations and ignores a torn tail. Returns false (damage) on valid entries
+// behind a bad one, or of a generation whose slot is lost. A log starts with an empty entry, written
+// once its slot was synced; `headed` is set if an entry of the newest generation is found.
 auto Storage::apply_log(std::string_view entries, std::uint64_t newest, bool& headed) -> bool {
     while (!entries.empty()) {
         auto const entry = unseal(entries);
@@ -102,8 +102,8 @@
     auto headed = false;
     for (auto const& log : logs)
         if (!apply_log(log, newest->generation, headed)) return LoadResult::damaged;
-    // A slot without a log of its own may be one whose sync failed: it is written once more,
-    // and the pair before it, which then holds all that was told, is left alone until that is synced.
+    // The sync of a slot without a log of its own may have failed: the slot is rewritten, and the pair before it,
+    // which then holds every acknowledged change, is kept until the rewritten slot is synced.
     auto const in_doubt = !headed && slots_whole == 2 && !std::filesystem::exists(folder / former_log, failure);
     generation = in_doubt ? newest->generation - 1 : newest->generation;
     return LoadResult::loaded;
@@ -144,7 +144,7 @@
     return good;
 }
 
-// The log of the newest slot, empty but for its first entry.
+// Starts the log of the newest slot with its empty first entry.
 auto Storage::begin_log() -> bool {
     if (log_descriptor >= 0) ::close(log_descriptor);
     auto const name = log_name(generation);
@@ -154,7 +154,7 @@
     return append(log_descriptor, name, seal(generation, "")) && sync(log_descriptor, name) && sync_folder();
 }
 
-// A slot counts, and the next may go over the one before it, only once it is synced.
+// A slot becomes the newest, and the one before it may be overwritten, only once it is synced.
 auto Storage::write_slot() -> bool {
     auto const next = generation + 1;
     auto const name = slot_name(next);
@@ -186,12 +186,12 @@
     return !broken;
 }
 
-// One write and one sync for all that waited.
+// Group commit: one write and one sync for the whole batch.
 auto Storage::write(std::vector<SavedPartition> const& batch) -> bool {
     std::string bytes;
     for (auto const& saved : batch) {
         if (!take_saved(state.partitions, saved)) {
-            broken = inconsistent = true;  // what was to be synced is not known here: nothing may be told of it
+            broken = inconsistent = true;  // the state to sync is unknown here: it must not be acknowledged
             return false;
         }
         if (!broken) bytes += seal(generation, json::serialize(write_json(saved)));
--- a/source/process/storage.hpp
+++ b/source/process/storage.hpp
@@ -1,8 +1,8 @@
 #pragma once
-// The node's disk: two slots written in turn, each with a short log of what came after it.
-// It decides what the folder holds and where the next state goes; it never writes over the
-// newest state that is known to be synced, and never trusts a file again whose sync failed
-// before it is written anew. docs/design.md section 6; tests: storage_test, recovery_test.
+// The node's storage: two snapshot slots written alternately, each with a short log of later changes.
+// It decides which state the folder holds and where the next one goes. It never overwrites the newest
+// state known to be synced, and does not trust a file whose sync failed until it has been rewritten.
+// docs/design.md section 6; tests: storage_test, recovery_test.
 #include <array>
 #include <filesystem>
 #include <functional>
@@ -17,7 +17,7 @@
     std::vector<SavedPartition> partitions;
 };
 
-// What is done to the files, told to whoever records it (the recovery test).
+// An operation on a file, reported to `watch` (used by the recovery test).
 struct FileEvent {
     enum class Kind : int { truncated, written, synced, sync_failed, folder_synced };
     Kind kind = Kind::written;
@@ -25,31 +25,32 @@
     std::string bytes;
 };
 
-// fresh: no state was ever written here. failed: the folder cannot be read now; that says
-// nothing of what it holds.
+// fresh: no state was ever written here. damaged: state was written but cannot be restored.
+// failed: the folder cannot be read now, so its contents are unknown.
 enum class LoadResult : int { fresh, loaded, damaged, failed };
 
 struct Storage {
     std::filesystem::path folder;
     StoredState state;
-    std::uint64_t generation = 0;  // the newest slot known to be synced; the next one goes to the other pair
+    std::uint64_t generation = 0;  // of the newest slot known to be synced; the next one goes to the other slot and log
     int log_descriptor = -1;
     std::size_t log_size = 0;
-    std::size_t log_most = std::size_t{1} << 20U;  // or twice the newest slot: then the next one is written
+    std::size_t log_most = std::size_t{1} << 20U;  // a longer log, also than twice the slot, starts a new slot
     std::size_t slot_size = 0;
     std::function<void(FileEvent const&)> watch;
     // Set by tests: whether this operation on this file (or folder, "") fails.
     std::function<bool(FileEvent::Kind, std::string const&)> refuses;
-    bool broken = false;  // a write or sync failed: nothing is appended until all is written anew
+    bool broken = false;  // a write or sync failed: nothing is appended until the whole state is rewritten
 
-    bool inconsistent = false;  // a change was logged whose base is not held: no repair, only a restart
+    bool inconsistent = false;  // a change arrived whose base state is not held: only a restart helps, no repair
 
     auto open(std::filesystem::path const& where) -> LoadResult;
-    // Also where a damaged or blank folder begins anew, under a new identity.
+    // Writes the first slot of this incarnation; with another identity than the stored one, drops the stored
+    // partitions.
     auto begin(std::string const& identity, std::uint64_t incarnation) -> bool;
-    // True once the batch is synced. Where it is not, the batch is kept in `state` for repair().
+    // True once the batch is synced. On failure the batch stays in `state` for repair().
     auto write(std::vector<SavedPartition> const& batch) -> bool;
-    // After a failure: the whole state to the slot that holds less, synced; true once that is done.
+    // After a failure: writes the whole state to the older slot; true once it is synced.
     auto repair() -> bool;
     auto close() -> void;
 
--- a/source/process/storage_format.cpp
+++ b/source/process/storage_format.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Field names of the two former formats on disk, and what they are called now.
+// Field names of the two former formats on disk, with their present names.
 struct RenamedField {
     std::string_view former;
     std::string_view now;
@@ -28,7 +28,7 @@
     }
 }
 
-// The first format named one follower only.
+// The first format had a single follower.
 auto list_single_follower(json::object& record) -> void {
     auto const* single = record.if_contains("understudy");
     if (single == nullptr || !single->is_string()) return;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-// Brings a state or log entry of a former format to the present one (design 6).
+// The formats are described in design 6.
 auto renew(json::value& value) -> void {
     if (value.is_array()) {
         for (auto& item : value.as_array()) renew(item);
--- a/source/process/storage_format.hpp
+++ b/source/process/storage_format.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What the files of the data folder hold: sealed blocks of JSON, and the former format's
-// records read as this one's. docs/design.md section 6.
+// The format of the files in the data folder: JSON blocks with length and checksum, and the
+// conversion of records of former formats. docs/design.md section 6.
 #include <optional>
 #include <string>
 #include <string_view>
@@ -16,13 +16,13 @@
     std::string body;
 };
 
-// A block with its length and checksum.
+// Wraps a body in a block with its generation, length and checksum.
 auto seal(std::uint64_t generation, std::string const& body) -> std::string;
 
-// Takes one sealed block off the front; nothing where it is torn or bad.
+// Removes one sealed block from the front; nullopt if it is torn or its checksum is wrong.
 auto unseal(std::string_view& bytes) -> std::optional<Sealed>;
 
-// Brings what the former format wrote into the shape of this one.
+// Converts a state or log entry of a former format to the present one, in place.
 auto renew(json::value& state) -> void;
 
 template <typename Type>
