--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -1,4 +1,4 @@
-// Starting, ticking and driving the machines. docs/design.md sections 2, 13, 14.
+// Starts the state machines and carries out their output. docs/design.md sections 2, 13, 14.
 #include "process/node.hpp"
 
 #include <random>
@@ -10,7 +10,7 @@
 namespace dockrock {
 
 auto Node::start() -> leaf::result<void> {
-    // Before the disk: whoever holds the addresses may be at work in the same data folder.
+    // Before the disk: a process that still holds the addresses may be using the same data folder.
     BOOST_LEAF_CHECK(take_addresses());
     started_at = clock_now();
     auto const core = !settings.data_folder.empty();
@@ -19,7 +19,7 @@
             run_disk();
             disk_ended.set_value();
         });
-    // A disk that is not loaded in time is taken up later; until then this node has no duties.
+    // A disk that is not loaded in time is taken over later; until then this node has no duties.
     auto const held = core ? await_disk() : std::nullopt;
     auto const blank = DiskHolding{fresh_identity(), core ? 1 : static_cast<std::uint64_t>(started_at), false, {}};
     auto const& [identity, incarnation, had_state, saved_parts] = held ? *held : blank;
@@ -60,7 +60,7 @@
             return;
         }
         in_control([this, sender = std::move(frame.sender), address = std::move(frame.sender_address),
-                    message = std::move(*message)] {  // not the frame's text, which is as large once more
+                    message = std::move(*message)] {  // without the frame's text, which is as large as the message
             act_on(control.receive(clock_now(), sender, address, message));
         });
     });
@@ -74,7 +74,7 @@
     return {};
 }
 
-// To a queue that nobody is at, where there is one.
+// Prefers an idle queue; otherwise takes the queues in turn.
 auto Node::interpret_in_turn(Work work) -> void {
     for (auto& queue : ticket_works)
         if (queue.idle()) return queue.put(std::move(work));
@@ -125,7 +125,8 @@
     take_proof();
 }
 
-// After what it proves: whoever reads the proof and then the snapshot holds at least what is proven.
+// Called after the snapshot is published: a reader that takes the proof first and then the snapshot holds at least
+// the proven state.
 auto Node::take_proof() -> void { proven_at = control.news[configuration_partition].proven_at; }
 
 auto Node::publish_snapshot() -> void {
@@ -142,7 +143,7 @@
     take_proof();
     judge_resting(clock_now());
     auto const guard = std::lock_guard(table.lock);
-    if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written here alone
+    if (form != nullptr) weights_guard.heard = WeightsGuard::heard_by(control);  // written only here
     if (form != nullptr) take_services(*fresh);
     table.granting.burden.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
--- a/source/process/node_invariants.cpp
+++ b/source/process/node_invariants.cpp
@@ -1,5 +1,5 @@
-// The last looks at what leaves a node: refusals, requests, orders; and how a violation is told.
-// docs/consensus.md section 5.
+// Invariant checks on what a node sends (refusals, requests, orders) just before sending, and the reporting of
+// violations. docs/consensus.md section 5.
 #include "base/invariant_checks.hpp"
 #include "process/clock.hpp"
 #include "process/log.hpp"
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr Microseconds log_interval = one_second;  // of one invariant
-// From the write to the replica's start; of the margin that is left once a look each second and a connect passed.
+constexpr Microseconds log_interval = one_second;  // between log lines of one invariant
+// From the write of a request to its start on the replica. Part of the margin that remains after the check, which
+// runs once a second, and the connect.
 constexpr Microseconds version_flight = 800 * one_millisecond;
 
-// Logs the first at once and then one a second, with how many there were.
+// Logs the first violation at once and then at most one a second, with the count so far.
 auto log_violation(Invariant which, InvariantFacts facts) -> void {
     static std::array<std::atomic<Microseconds>, invariant_count> logged_at{};
     auto& last = logged_at[static_cast<std::size_t>(which)];
@@ -66,7 +67,7 @@
     return once && sent && fresh;
 }
 
-// `wait`: what a new holder owes to receivers that check no fence.
+// `wait`: how long a new lease holder must wait, because these receivers check no fence.
 auto Node::order_leaves(int partition, invariants::OrderFacts facts, Microseconds wait) -> bool {
     auto& highest = fences_sent[static_cast<std::size_t>(partition)];
     facts.lease_age = clock_now() - facts.lease_age;
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -1,4 +1,4 @@
-// What a node reads of the back ends, and the orders a leader gives them.
+// Polls the platform's list and the replicas' reports, and sends a leader's orders to replicas.
 // docs/design.md sections 8.4, 9.3 and 11.
 #include "process/clock.hpp"
 #include "process/log.hpp"
@@ -27,7 +27,7 @@
     if (form != nullptr) co_return co_await relay_list_loop();
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto wanted = std::make_shared<std::atomic<bool>>(false);
-    auto last_good = std::string();  // read whole once, not again while it stays the same
+    auto last_good = std::string();  // the last valid body; not parsed again while unchanged
     auto const listing = http_ask(http::verb::get, "/replicas");
     while (!finished) {
         co_await pause(100 * one_millisecond);
@@ -39,7 +39,7 @@
         auto const asked_at = clock_now();
         auto const answer = co_await connection.call(settings.platform_address, listing, 800 * one_millisecond);
         auto const same = answer.body == last_good;
-        if (answer.status != 200 || (!same && !is_list(answer.body))) {  // what can't be read is kept as it was
+        if (answer.status != 200 || (!same && !is_list(answer.body))) {  // invalid: the last list stays
             ++counters.list_failures;
             continue;
         }
@@ -50,7 +50,7 @@
 }
 
 auto Node::report_manager() -> awaitable<void> {
-    if (form != nullptr) co_return;  // reports have a price there: asked for while an order is under way
+    if (form != nullptr) co_return;  // reports are costly there: requested only while an order is in progress
     while (!finished) {
         auto const current = snapshot.load();
         for (auto const& entry : current->list.replicas) {
@@ -87,7 +87,7 @@
         if (parsed) read_json(*parsed, report, "", problems);
         if (parsed && problems.empty()) {
             if (report.incarnation != incarnation && !incarnation.empty() &&
-                next_event > 0) {  // restarted: its events begin anew
+                next_event > 0) {  // restarted: its events start again
                 next_event = 0;
                 incarnation = report.incarnation;
                 continue;
@@ -106,13 +106,13 @@
             table.granting.burden.report_failed(name, clock_now());
         }
         auto const busy = clock_now() - last_ticket < 10 * one_second;
-        auto const idle_pause = settings.data_folder.empty() ? 2'000 : 1'000;  // the core follows roll-outs
+        auto const idle_pause = settings.data_folder.empty() ? 2'000 : 1'000;  // core nodes track rollouts
         co_await pause((resting_now ? 5'000 : busy ? 250 : idle_pause) * one_millisecond);
     }
 }
 
-// Orders come from the leased leader of the service's part alone, and carry
-// its term as the fence and the life of their receiver (design 11).
+// Only the leader of the service's partition sends orders, while it holds the lease. An order carries
+// the leader's term as its fence and the incarnation of its receiver (design 11).
 auto Node::order_loop() -> awaitable<void> {
     if (form != nullptr) co_return co_await weights_loop();
     while (!finished) {
@@ -138,7 +138,7 @@
         "weights", order.weights, "fence", order.fence, "holder", settings.control_address, "incarnation",
         order.incarnation));
     auto const posted = http_ask(http::verb::post, "/weights", body);
-    // These receivers check the fence, so a new holder waits for nobody.
+    // These receivers check the fence, so a new lease holder need not wait.
     auto const lease = co_await lease_checked(order.partition, order.fence);
     if (!lease || !order_leaves(order.partition, *lease, 0)) co_return;
     ++counters.orders;
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -1,5 +1,5 @@
-// Settings in a running node: what derives from the bounds, and what a reload
-// changes. docs/design.md sections 8.3, 10.4 and 13.
+// Applies settings to the node: limits derived from the fleet's bounds, and reloads
+// while it runs. docs/design.md sections 8.3, 10.4 and 13.
 #include "process/clock.hpp"
 #include "process/log.hpp"
 #include "process/node.hpp"
@@ -25,7 +25,7 @@
     auto& granting = table.granting;
     granting.budget.each_ticket = bounds.retry_ratio;
     granting.budget.stored = granting.budget.most = most_extra_tries(bounds);
-    if (form != nullptr) {  // the product's own interface keeps its tighter limits
+    if (form != nullptr) {  // the product's own wire protocol keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
         granting.proof_limit = control.times.proof_limit = limits.entry;
         granting.proof_shed_limit = control.times.shed_limit = limits.shed;
@@ -35,7 +35,7 @@
     settings_looked = clock_now();
 }
 
-// A file may change without any signal.
+// Reloads when the settings file changes, as a change may come without a signal.
 auto Node::look_at_settings(Microseconds now) -> void {
     if (settings_file.empty() || now - settings_looked < look_interval) return;
     settings_looked = now;
@@ -45,8 +45,8 @@
     in_control([this] { reload(); });
 }
 
-// In control_work. What can't be read changes nothing; the rest of the settings
-// holds from the next start.
+// Runs in control_work. Applies the log level and the seeds; other settings take effect
+// at the next start. Settings with problems change nothing.
 auto Node::reload() -> void {
     if (!reread) return;
     auto fresh = NodeSettings();
--- a/source/process/node_rest.cpp
+++ b/source/process/node_rest.cpp
@@ -1,4 +1,5 @@
-// The resting duty, and this node's own rest. docs/design.md section 12.
+// Which edge nodes rest (tick and exchange messages less while traffic is low), as the leader of the resting partition
+// decides it, and this node's own resting state. docs/design.md section 12.
 #include "process/clock.hpp"
 #include "process/log.hpp"
 #include "process/node.hpp"
@@ -10,7 +11,7 @@
 constexpr Microseconds unheard_limit = 5 * one_second;
 }  // namespace
 
-// Rests only while named, undisturbed, and in touch with the fleet.
+// Rests only while it is named in the resting set, no request woke it lately, and it hears from the fleet.
 auto Node::judge_resting(Microseconds now) -> void {
     auto const current = snapshot.load();
     auto const named = current->resting.contains(control.membership.self.identity);
@@ -23,7 +24,7 @@
     write_log(Level::information, rests ? "rests" : "wakes", {{"named", named}, {"heard", heard}});
 }
 
-// A ticket came to a resting node: it is served at once, on fresh news.
+// A request reached a resting node: wakes it and requests fresh partition updates at once.
 auto Node::wake() -> void {
     awake_until = clock_now() + awake_after_ticket;
     resting_now = false;
@@ -63,7 +64,7 @@
 }
 
 auto Node::rest_loop() -> awaitable<void> {
-    if (settings.data_folder.empty()) co_return;  // the duty lies with the core
+    if (settings.data_folder.empty()) co_return;  // only core nodes decide this
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
     while (!finished) {
         timer.expires_after(std::chrono::milliseconds(500));
--- a/source/process/node_signals.cpp
+++ b/source/process/node_signals.cpp
@@ -1,4 +1,4 @@
-// What signals mean to a node, from its first moment on. docs/design.md section 13.
+// Signal handling, active from the start of the process. docs/design.md section 13.
 #include "process/log.hpp"
 #include "process/node.hpp"
 #include "process/spawn.hpp"
@@ -12,13 +12,13 @@
     await_reload();
 }
 
-// One that comes during the start is acted on once the node runs.
+// A stop signal during the start takes effect once the node runs, or cancels the wait for an address.
 auto Node::await_stop() -> void {
     stop_signals.async_wait([this](auto failure, int signal) {
         if (failure) return;
         if (!running) stop_asked = true;
         else if (!stopping) begin_stop();
-        else if (signal == SIGINT) std::_Exit(1);  // at a terminal, the second one ends it at once
+        else if (signal == SIGINT) std::_Exit(1);  // a second interrupt at a terminal ends the process at once
         else write_log(Level::information, "stopping-already", fields("open_tickets", open_tickets.load()));
         await_stop();
     });
@@ -29,7 +29,7 @@
     spawn_essential(context.get_executor(), stop_politely());
 }
 
-// A node that starts reads its settings anyway.
+// Ignored during the start, which reads the settings anyway.
 auto Node::await_reload() -> void {
     reload_signals.async_wait([this](auto failure, int) {
         if (failure) return;
--- a/source/process/socket_closer.hpp
+++ b/source/process/socket_closer.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Closing sockets of the messaging library. A close may wait inside the library for ever while frames come in, and
-// each later one behind it, so nobody else waits for one. docs/design.md section 3.
+// Closes sockets of the messaging library. A close may block inside the library for ever while frames come in, and
+// later closes block behind it, so only the closer's own thread waits for them. docs/design.md section 3.
 #include <nng/nng.h>
 
 #include <chrono>
@@ -12,13 +12,13 @@
 
 namespace dockrock {
 
-// Closes sockets one after the other on a thread of its own.
+// Closes sockets one after another on its own thread.
 struct SocketCloser {
-    // Before the first one is closed, while there is room for a thread: a running node may have none.
+    // Call before the first close, while a thread can be created: a running node may have reached its thread limit.
     auto start() -> void;
-    // `kept` is what callbacks of the socket use; it is held until the socket is closed.
+    // `kept` owns data that the socket's callbacks use; it is held until the socket is closed.
     auto close(nng_socket socket, std::shared_ptr<void const> kept) -> void;
-    // After the last one. False: not all are closed within `limit`; the thread then goes on to the end of the process.
+    // Call after the last close. False: not all sockets are closed within `limit`; the thread then runs on, detached.
     auto finish(std::chrono::milliseconds limit) -> bool;
 
    private:
@@ -26,7 +26,7 @@
         nng_socket socket;
         std::shared_ptr<void const> kept;
     };
-    struct Queue {  // outlives the closer where a close does not end
+    struct Queue {  // outlives the closer if a close never returns
         std::mutex lock;
         std::condition_variable changed;
         std::deque<Closing> waiting;  // the first one is being closed
--- a/source/process/spawn.hpp
+++ b/source/process/spawn.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// How the node's coroutines are started, by what an exception that leaves one means. `asio::detached` would drop it in
-// silence: the node would go on without the loop. docs/design.md section 14.
+// Starts the node's coroutines, with handling for exceptions that leave one. `asio::detached` would drop such an
+// exception silently, and the node would go on without the loop. docs/design.md section 14.
 #include "connection/http_client.hpp"
 #include "process/counters.hpp"
 
 namespace dockrock {
 
-// Counts something open for as long as it lives, also where an exception ends it.
+// Increments a counter for the lifetime of a scope, also if an exception ends it.
 struct CountedScope {
     std::atomic<int>& count;
     explicit CountedScope(std::atomic<int>& counter) : count(counter) { ++count; }
@@ -14,11 +14,11 @@
     ~CountedScope() { --count; }
 };
 
-// What serves one connection, or asks one peer. An exception ends that alone: it is logged and counted in
+// For work on one connection or one peer. An exception ends only this coroutine: it is logged and counted in
 // `connections_failed`.
 auto spawn_connection(Counters& counters, asio::any_io_executor executor, awaitable<void> served) -> void;
 
-// What the node can't do without. An exception ends the process, which tells it.
+// For work that the node cannot run without. An exception ends the process, which reports it on standard error.
 auto spawn_essential(asio::any_io_executor executor, awaitable<void> work) -> void;
 
 }  // namespace dockrock
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -13,18 +13,18 @@
 namespace {
 
 constexpr Microseconds dial_patience = 200 * one_millisecond;
-constexpr Microseconds attempt_limit = 700 * one_millisecond;  // an attempt that was lost is made anew
+constexpr Microseconds attempt_limit = 700 * one_millisecond;  // a lost connection attempt is repeated after this
 constexpr Microseconds longest_attempt = 1'400 * one_millisecond;
 constexpr auto most_attempt_doublings = 3;
 constexpr Microseconds unused_limit = 120 * one_second;
-constexpr auto close_patience = std::chrono::milliseconds(100);  // at the end, which is within the time to stop
+constexpr auto close_patience = std::chrono::milliseconds(100);  // at the end, as part of the time to stop
 
-// Where connections take longer to establish than the first patience, the doubled one lets them.
+// Doubles the time for each abandoned attempt, so that connections slower than the first limit can be established.
 auto attempt_patience(Microseconds first, int given_up) -> Microseconds {
     return std::min<Microseconds>(first << std::min(given_up, most_attempt_doublings), longest_attempt);
 }
 
-// Runs on a thread of the library, until the socket is closed.
+// Runs on a thread of the library until the socket is closed.
 auto count_connections(nng_pipe, nng_pipe_ev event, void* counted) -> void {
     auto& connections = *static_cast<Transport::Peer::Connections*>(counted);
     connections.count += event == NNG_PIPE_EV_ADD_POST ? 1 : -1;
@@ -110,9 +110,9 @@
     let_go_unused(now);
 }
 
-// An attempt that was lost on its way is repeated by the system after a second, and later each time after twice
-// as long; so is what was sent into a cut, on a connection that still counts as one. A peer that is heard is up:
-// it is dialled anew where it was not reached yet, or says that nothing of ours arrives. What waited is let go.
+// The kernel repeats a lost SYN after a second and then after twice as long each time; it does the same with data
+// sent into a network partition on a connection still considered established. A peer that is heard is up, so it is
+// redialled if it was not reached yet or reports that our frames do not arrive. Queued frames are dropped.
 auto Transport::dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool {
     auto const since = now - peer.dialed_at;
     if (peer.connections->count > 0) return link.another_life || (link.hangs && since > dial_patience);
@@ -179,7 +179,7 @@
     }
 }
 
-// The listening socket comes last: a close that waits holds up those behind it.
+// The listening socket is closed last, since a blocked close delays those behind it.
 auto Transport::stop() -> bool {
     stopping = true;
     if (receipt == nullptr) return true;
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// nng between nodes: one PULL to hear, a PUSH to each peer. Neither repeats a
-// message by itself. docs/design.md section 3.
+// Messages between nodes over nng: one PULL socket to receive, a PUSH socket to each
+// peer. Neither retransmits a message by itself. docs/design.md section 3.
 #include <nng/nng.h>
 
 #include <functional>
@@ -15,18 +15,18 @@
 
 namespace dockrock {
 
-// A peer's connection, as the status tells of it.
+// The state of a peer's connection, for `status`.
 struct PeerSeen {
     std::string address;
     int connections = 0;
-    bool heard = false;  // since it was dialled
-    Microseconds dialled_before = 0;
+    bool heard = false;               // a frame has come from it since it was dialled
+    Microseconds dialled_before = 0;  // time since it was dialled
 };
 
-// Why an address was not taken.
+// Why the node cannot listen on an address.
 struct ListenFailure {
     std::string what;
-    bool in_use = false;  // it may be free later
+    bool in_use = false;  // the address may become free later
 };
 
 struct Transport {
@@ -34,14 +34,14 @@
 
     std::string fleet;
     nng_socket listener = NNG_SOCKET_INITIALIZER;
-    nng_aio* receipt = nullptr;  // the one receive that is under way; once stopped, no other one begins
+    nng_aio* receipt = nullptr;  // the single receive in progress; once stopped, no other one starts
     std::mutex lock;
     struct Peer {
         nng_socket socket{};
         Microseconds used_at = 0;
         Microseconds dialed_at = 0;
-        bool heard = false;  // since it was dialled: it is up, whatever became of the attempt
-        struct Attempts {    // given up since a connection stood, by whether the peer was heard meanwhile
+        bool heard = false;  // since it was dialled: the peer is up, even if the attempt failed
+        struct Attempts {    // abandoned since the last established connection, by whether the peer was heard
             int while_heard = 0;
             int in_silence = 0;
         };
@@ -53,9 +53,9 @@
         std::shared_ptr<Connections> connections = std::make_shared<Connections>();
     };
     std::map<std::string, Peer> peers;
-    std::map<std::string, PeerLink> links;  // by address, also of those that are only heard
-    std::uint64_t life = 0;                 // of this process; drawn at the start
-    std::uint64_t last_number = 0;          // of all frames of this life
+    std::map<std::string, PeerLink> links;  // by address, also of peers that only send to this node
+    std::uint64_t life = 0;                 // instance number of this process; drawn at the start
+    std::uint64_t last_number = 0;          // of the last frame sent by this instance, to any peer
     std::thread reader;
     std::atomic<bool> stopping{false};
     std::atomic<std::uint64_t> sent{0};
@@ -66,17 +66,17 @@
     std::atomic<std::uint64_t> redials{0};
     std::shared_ptr<std::atomic<std::uint64_t>> connections_lost = std::make_shared<std::atomic<std::uint64_t>>(0);
 
-    // May be tried again where it failed. Frames that come wait until they are read.
+    // May be retried after a failure. Frames that arrive wait until begin_reading().
     auto listen(std::string const& address) -> std::optional<ListenFailure>;
-    // Once it listens. Empty, or what failed.
+    // Call after listen() succeeded. `heard` runs on the reader thread. Returns an error text, or empty.
     auto begin_reading(std::string const& fleet_name, Heard heard) -> std::string;
-    // Both.
+    // listen() and begin_reading().
     auto start(std::string const& address, std::string const& fleet_name, Heard heard) -> std::string;
     auto send(std::string const& address, std::string const& frame, Microseconds now) -> void;
-    // It was asked something and did not answer in time.
+    // Reports that a peer did not answer a request in time.
     auto doubt(std::string const& address, Microseconds now) -> void;
     auto peers_seen(Microseconds now) -> std::vector<PeerSeen>;
-    // False: sockets are still being closed. What they hold goes with the process.
+    // False: some sockets are still being closed; they are released when the process ends.
     auto stop() -> bool;
 
    private:
--- a/source/process/work_queue.hpp
+++ b/source/process/work_queue.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Work handed to a oneTBB flow graph, one piece at a time, run by the thread
-// that brings it or by the one already at it. docs/design.md section 14.
+// Serial execution of work items on a oneTBB flow graph, by the thread that adds
+// an item or the one already running the queue. docs/design.md section 14.
 #include <tbb/flow_graph.h>
 #include <tbb/task_arena.h>
 
@@ -10,14 +10,14 @@
 
 namespace dockrock {
 
-// The graph lives in an arena that no worker thread joins: a worker woken for
-// a short task looks about for more, yielding its processor some forty times,
-// and that was most of what an idle node spent (docs/measurements.md).
+// The graph runs in an arena without worker threads: a worker woken for a short
+// task searches for more, yielding its processor some forty times, which was
+// most of the CPU time of an idle node (docs/measurements.md).
 struct WorkQueue {
     using Work = std::function<void()>;
     std::mutex lock;
     std::deque<Work> waiting;
-    bool busy = false;  // some thread is at it
+    bool busy = false;  // some thread is running the queue
     tbb::task_arena arena{1, 1};
     std::unique_ptr<tbb::flow::graph> graph;
     std::unique_ptr<tbb::flow::function_node<int>> node;
