--- a/source/process/clock.hpp
+++ b/source/process/clock.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A clock that counts suspension and knows no wall-clock jumps. docs/design.md 5.3.
+// A monotonic clock that includes time in which the machine was suspended. docs/design.md 5.3.
 #include <time.h>
 
 #include "base/basics.hpp"
--- a/source/process/counters.hpp
+++ b/source/process/counters.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a node counts, for its metrics. docs/operators.md.
+// A node's metric counters. docs/operators.md.
 #include <array>
 #include <atomic>
 
@@ -11,14 +11,14 @@
     std::atomic<std::uint64_t> tickets{0}, answered{0}, shed{0}, unknown{0}, refused{0}, broken{0}, callers_gone{0},
         tries{0}, did_not_run{0}, connect_failures{0};
     std::atomic<std::uint64_t> kept_tokens{0}, prefix_tokens{0}, fetched_tokens{0}, fetches{0};
-    std::atomic<std::uint64_t> part_calls{0}, part_events{0}, part_gaps{0}, strangers{0};  // answers of no request
+    std::atomic<std::uint64_t> part_calls{0}, part_events{0}, part_gaps{0}, strangers{0};  // unmatched answers
     std::atomic<std::uint64_t> claims_granted{0}, claims_seen{0}, claims_unknown{0}, calls{0}, orders{0}, list_reads{0},
         list_failures{0}, wakeups{0}, saves{0}, save_batches{0}, disk_failures{0}, disk_repairs{0};
     std::atomic<std::uint64_t> list_calls{0}, list_limited{0}, weights_reports{0}, weights_report_failures{0};
     std::array<std::atomic<std::uint64_t>, order_end_names.size()> order_ends{};
-    std::atomic<std::uint64_t> weights_behind{0}, weights_overdue{0}, weights_oldest{0}, weights_withheld{0};  // now
+    std::atomic<std::uint64_t> weights_behind{0}, weights_overdue{0}, weights_oldest{0}, weights_withheld{0};  // gauges
     std::atomic<std::uint64_t> weights_recalled{0};
-    std::atomic<std::uint64_t> connections_failed{0};  // ended by an exception
+    std::atomic<std::uint64_t> connections_failed{0};  // connections that an exception ended
 };
 
 }  // namespace dockrock
--- a/source/process/fatal_signals.cpp
+++ b/source/process/fatal_signals.cpp
@@ -18,7 +18,7 @@
 auto current_phase = std::atomic<ProcessPhase>(ProcessPhase::starting);
 auto known_limit = std::atomic<std::uint64_t>(no_limit);
 
-// Text in a fixed place: a signal handler may neither take memory nor a lock.
+// A text buffer of fixed size, as a signal handler may neither allocate memory nor take a lock.
 struct FixedText {
     std::array<char, 512> bytes{};
     std::size_t size = 0;
@@ -36,7 +36,7 @@
         } while (number > 0);
         add({digits.data() + first, digits.size() - first});
     }
-    // Pages: whole, resident, shared, code, 0, data, 0. Source: proc(5).
+    // Fields, in pages: total, resident, shared, code, 0, data, 0. Source: proc(5).
     auto add_page_counts() -> void {
         auto const file = ::open("/proc/self/statm", O_RDONLY | O_CLOEXEC);
         if (file < 0) return;
@@ -62,14 +62,14 @@
     line.add_page_counts();
     if (line.bytes[line.size - 1] != '\n') line.add("\n");
     [[maybe_unused]] auto const written = ::write(STDERR_FILENO, line.bytes.data(), line.size);
-    ::raise(signal);  // also where another process sent it; held back until this handler returns
+    ::raise(signal);  // raised again in case another process sent it; pending until this handler returns
 }
 
 }  // namespace
 
 auto set_process_phase(ProcessPhase phase) -> void { current_phase = phase; }
 
-// The handler is gone once it has run: what follows is the signal's own end, with a core file where they are kept.
+// The handler is reset once it has run, so the signal's default action follows, with a core dump where enabled.
 auto tell_fatal_signals(MachineLimits const& limits) -> void {
     known_limit = limits.memory();
     struct sigaction action = {};
--- a/source/process/fatal_signals.hpp
+++ b/source/process/fatal_signals.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// A signal that ends the process at its own fault (an invalid access, an abort) leaves one line on standard error:
-// which signal, what the process was doing, the memory that it may use and uses. docs/operators.md.
+// On a fatal signal (an invalid memory access, an abort) the process writes one line to standard error: the signal,
+// the phase of the process, its memory limit and its memory use. docs/operators.md.
 #include "process/machine_limits.hpp"
 
 namespace dockrock {
 
-// What the process is doing, as that line tells it.
+// The phase that this line reports.
 enum class ProcessPhase : int { starting, running, stopping };
 auto set_process_phase(ProcessPhase phase) -> void;
 
--- a/source/process/footprint.cpp
+++ b/source/process/footprint.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr auto thread_stack_bytes = std::size_t{1} << 20U;
-constexpr auto arenas = 1;                              // each further one reserves 64 MiB of address space
-constexpr auto mapped_from = 256 << 10U;                // bytes: larger pieces go back to the system as they are freed
-constexpr auto kept_at_top = 2 << 20U;                  // bytes
-constexpr auto start_needs = std::uint64_t{56} << 20U;  // forty stacks, and what the start takes beside them
+constexpr auto arenas = 1;                              // each further arena reserves 64 MiB of address space
+constexpr auto mapped_from = 256 << 10U;                // bytes: larger allocations return to the system when freed
+constexpr auto kept_at_top = 2 << 20U;                  // bytes that free() may retain at the top of the heap
+constexpr auto start_needs = std::uint64_t{56} << 20U;  // bytes: forty stacks and the start's other memory
 constexpr auto least_descriptors = std::uint64_t{64};
 
 }  // namespace
--- a/source/process/footprint.hpp
+++ b/source/process/footprint.hpp
@@ -1,17 +1,17 @@
 #pragma once
-// What the process takes before it does anything: stacks of threads, also of those that libraries start, and how the
-// allocator keeps memory. Both have defaults that grow with the machine. docs/CAPACITY.md.
+// Limits the base memory use of the process: the stacks of threads, including those that libraries start, and the
+// memory that the allocator retains. Both have defaults that grow with the machine. docs/CAPACITY.md.
 #include <string>
 
 #include "process/machine_limits.hpp"
 
 namespace dockrock {
 
-// Before the first thread.
+// Call before the first thread starts.
 auto limit_footprint() -> void;
 
-// What the start takes on top of what is in use now, and what there is not: empty where all of it is there. The kernel
-// is asked for the memory, and gets it back at once.
+// Checks that the resources for the start are available; returns what is missing, or empty. The memory is requested
+// from the kernel as a test and released at once.
 auto missing_for_start(MachineLimits const& limits) -> std::string;
 
 }  // namespace dockrock
--- a/source/process/form.hpp
+++ b/source/process/form.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How one wire speaks, for a fleet that relays requests as they are: names,
-// formats, calls. A struct of functions, fixed at start; it decides nothing.
+// The wire protocol of a platform, for a fleet that relays requests unchanged: header
+// names, formats, calls. A struct of functions, fixed at the start, without any policy.
 // docs/platform.md section 3.
 #include <functional>
 
@@ -10,42 +10,42 @@
 
 namespace dockrock {
 
-// Names of headers; an empty one is not spoken.
+// Header names; an empty one is not used by the protocol.
 struct HeaderNames {
-    std::string request_identity;  // of one try of a client
+    std::string request_identity;  // identifies one try of a client
     std::string deadline;          // milliseconds left
     std::string model;
-    std::string tokens;      // "prompt,most out"
+    std::string tokens;      // "prompt,maximum output", in tokens
     std::string prefix;      // "part:tokens,part:tokens"
-    std::string last_event;  // the last event that a resumed stream had
+    std::string last_event;  // the last event that the client of a resumed stream received
     std::string key;
     std::string tenant;
     std::string replica_wanted;
     std::string weights_wanted;
     std::string weights_told;
-    std::string salt;  // under which kept prompts are found
+    std::string salt;  // the salt of prefix cache keys
     std::string urgency;
     std::string fetch_from;
     std::string store_at;
-    std::string stamp;  // the replica's, on every answer that counts
+    std::string stamp;  // set by replicas; a successful answer without it is not accepted
     std::string not_run;
     std::string replica;
     std::string load;  // "running,waiting,capacity"
 };
 
 struct ListPage {
-    std::vector<ReplicaEntry> replicas;  // weights: what the list says of them
+    std::vector<ReplicaEntry> replicas;  // `weights` as the list states them
     std::string next;                    // empty on the last page
 };
 struct WeightsNamed {
     std::string model;
     std::int64_t version = 0;
 };
-// A replica's own word of its weights.
+// A replica's report of its weights and load.
 struct WeightsReport {
     std::map<std::string, std::int64_t> versions;  // by model
-    bool busy = false;                             // an order is under way
-    std::uint64_t orders = 0;                      // taken in this life
+    bool busy = false;                             // an order is in progress
+    std::uint64_t orders = 0;                      // number of orders accepted in this incarnation
     std::int64_t waiting = 0;
     std::int64_t running = 0;
     std::int64_t memory_used = 0;
@@ -56,29 +56,30 @@
     std::int64_t version = 0;
     std::string holder;
     std::uint64_t fence = 0;
-    std::optional<std::uint64_t> orders;  // expected number of orders taken
-    std::string replica;                  // the life it is for
+    std::optional<std::uint64_t> orders;  // expected number of accepted orders
+    std::string replica;                  // the replica incarnation that the order is for
 };
-// What a replica or store tells of kept parts, later than it happened.
+// A change of the prefix cache of a replica or store, reported some time after it happened.
 struct KeptEvent {
     std::uint64_t number = 0;
-    bool kept = false;  // or given up, wholly or in part
+    bool kept = false;  // false: evicted, wholly or in part
     std::string salt;
     std::string part;
-    std::int64_t tokens = 0;  // kept now
+    std::int64_t tokens = 0;  // tokens cached now
     std::string model;
 };
 struct KeptEvents {
-    std::string life;  // changes when it restarts
+    std::string life;  // changes when the source restarts
     std::uint64_t next = 0;
-    bool gap = false;  // some events are lost
+    bool gap = false;  // some events were lost
     std::vector<KeptEvent> events;
 };
 
 struct RelayForm {
     std::string name;
     HeaderNames headers;
-    bool takes_content_codings = true;  // false: a success in a content coding is not the body that clients asked for
+    // false: a successful answer in a content coding is not the body that clients requested
+    bool takes_content_codings = true;
     std::string ready_path;
     std::string configuration_path;
     std::string weights_path;
@@ -94,7 +95,7 @@
     std::function<HttpCall(std::uint64_t since, Microseconds wait)> events_call;
     std::function<std::optional<KeptEvents>(std::string_view body)> read_events;
     std::function<HttpCall()> kept_call;
-    std::function<std::optional<KeptEvents>(std::string_view body)> read_kept;  // all that is kept, as events
+    std::function<std::optional<KeptEvents>(std::string_view body)> read_kept;  // the whole cache, as events
 };
 
 }  // namespace dockrock
--- a/source/process/log.hpp
+++ b/source/process/log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// JSON-line logs through Boost.Log. Keys and bodies are never given to it.
+// JSON-line logs through Boost.Log. Callers never log keys or request bodies.
 // docs/design.md section 13.
 #include <boost/json.hpp>
 #include <string>
@@ -10,7 +10,7 @@
 
 auto start_log(std::string const& file, std::string const& node, Level least) -> void;
 auto write_log(Level level, std::string_view event, boost::json::object fields = {}) -> void;
-// Whether a line of this level is written at all.
+// Whether lines of this level are written.
 auto log_writes(Level level) -> bool;
 auto set_log_level(Level least) -> void;
 auto level_of(std::string_view name) -> Level;
--- a/source/process/loop_entry.hpp
+++ b/source/process/loop_entry.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The name of a peer that a loop asks: taken out again when the loop ends, also by an exception, so that another one
-// may begin.
+// Removes a loop's name from the set of running loops when the loop ends, also by an exception, so that another loop
+// may start for it.
 #include <mutex>
 #include <set>
 #include <string>
--- a/source/process/machine_limits.cpp
+++ b/source/process/machine_limits.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-// `parts` of the `whole` that a limit is cut into.
+// The fraction parts/whole of a limit.
 struct Share {
     std::uint64_t parts;
     std::uint64_t whole;
 
     auto of(std::uint64_t limit) const -> std::uint64_t { return limit == no_limit ? no_limit : limit / whole * parts; }
 };
-constexpr auto descriptor_share = Share{3, 4};                            // of clients' connections
-constexpr auto connection_share = Share{3, 8};                            // of the memory
-constexpr auto message_share = Share{3, 8};                               // of the memory
-constexpr auto connection_bytes = MemoryShare::free_bytes + (8U << 10U);  // at rest, and a message beside the budget
+constexpr auto descriptor_share = Share{3, 4};                            // for client connections
+constexpr auto connection_share = Share{3, 8};                            // of the memory, for connections
+constexpr auto message_share = Share{3, 8};                               // of the memory, for messages
+constexpr auto connection_bytes = MemoryShare::free_bytes + (8U << 10U);  // idle, with one unbudgeted message
 static_assert(no_limit == MemoryBudget::unlimited);
 
 constexpr auto one_megabyte = std::uint64_t{1'000'000};
--- a/source/process/measures.hpp
+++ b/source/process/measures.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Histograms of what callers and operators wait for, in the custom of
-// Prometheus: cumulative buckets in seconds. docs/operators.md.
+// Latency histograms in Prometheus format: cumulative buckets in seconds.
+// docs/operators.md.
 #include <array>
 #include <atomic>
 #include <map>
@@ -23,9 +23,9 @@
 };
 
 struct Measures {
-    Histogram claim;     // from asking for a claim to its answer
-    Histogram sync;      // one write and sync of the disk
-    Histogram in_force;  // from asking to an acknowledged change, at the node that was asked
+    Histogram claim;     // from requesting a claim to its answer
+    Histogram sync;      // one disk operation, with its syncs
+    Histogram in_force;  // from the request for a change to its acknowledgement, at the node that received it
     struct Labelled {    // by kind and rank
         std::mutex lock;
         std::map<std::pair<std::string, int>, std::unique_ptr<Histogram>> by_label;
@@ -38,7 +38,7 @@
     auto write(std::string& text) -> void;
 };
 
-// Violated invariants of this process: to the log, as metrics, and for `status`.
+// Invariant violations of this process: written to the log, as metrics, and for `status`.
 auto log_violations() -> void;
 auto write_violations(std::string& text) -> void;
 auto violations_object() -> json::object;
--- a/source/process/news_sight.hpp
+++ b/source/process/news_sight.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What became of questions for news and of refusals by the rules, for logs and
-// metrics. docs/operators.md.
+// The outcomes of update requests to other nodes, and refusals by the configuration
+// rules, for logs and metrics. docs/operators.md.
 #include <atomic>
 
 #include "control/control.hpp"
@@ -10,12 +10,12 @@
 struct NewsSight {
     std::atomic<std::uint64_t> asked{0}, unanswered{0}, late{0}, unknown{0}, refusals{0};
     std::atomic<Microseconds> latest{0};                            // the greatest age of a late answer
-    std::atomic<Microseconds> oldest_refusal{0};                    // the greatest proof age under which rules refused
-    std::atomic<Microseconds> refusal_logged{-3'600 * one_second};  // at most one each interval
+    std::atomic<Microseconds> oldest_refusal{0};                    // the greatest proof age at a refusal by the rules
+    std::atomic<Microseconds> refusal_logged{-3'600 * one_second};  // at most one line each interval
 
-    // Inside the control's work, after each of its steps.
+    // Called in control_work after each control step.
     auto take(NewsCounts const& counts, std::vector<NewsNote> const& notes) -> void;
-    // A request was refused as the configuration says.
+    // Records a request that the configuration rules refused.
     auto refused(int status, Sequence const& sequence, Microseconds proof_age, Microseconds now) -> void;
     auto write(std::string& text) const -> void;
 };
--- a/source/process/run_node.cpp
+++ b/source/process/run_node.cpp
@@ -15,7 +15,7 @@
 
 enum class ExitStatus : int { well = 0, not_started = 1, wrong_settings = 2, no_room = 3 };
 
-// An exception that nobody catches ends the process; its reason goes to standard error, whatever the log is set to.
+// The terminate handler: writes the reason of an uncaught exception to standard error, whatever the log settings.
 auto tell_uncaught() -> void {
     try {
         if (auto const uncaught = std::current_exception()) std::rethrow_exception(uncaught);
@@ -27,7 +27,7 @@
     std::abort();
 }
 
-// The reason of a failed start, with what the machine allows and what was in use.
+// Reports the reason of a failed start, with the machine's limits and the resources in use.
 auto tell_start_failure(std::string const& what, MachineLimits const& limits) -> void {
     auto const use = process_use();
     write_log(
@@ -36,8 +36,8 @@
               << json::serialize(write_use(use)) << "\n";
 }
 
-// What has to last is synced by now, and the log flushed. The rest is left to the system: to take it down here could
-// wait for a library's threads.
+// Durable state is synced by now, and the log flushed. Destructors are skipped, as they could wait for threads of
+// libraries; the system releases the rest.
 [[noreturn]] auto end_process(ExitStatus status) -> void {
     std::cout.flush();
     std::cerr.flush();
--- a/source/process/settings.cpp
+++ b/source/process/settings.cpp
@@ -70,8 +70,8 @@
     return problems;
 }
 
-// A key must be dead everywhere `revoke` after it was taken away: a proof older
-// than that, less the way of a request to its replica, proves nothing.
+// A key must be refused everywhere within `revoke` of its removal: a proof older than that, less the time a
+// request takes to its replica, is not sufficient.
 auto proof_limits_of(FleetBounds const& bounds) -> ProofLimits {
     auto const entry = std::max(bounds.revoke / 2, bounds.revoke - 500 * one_millisecond);
     return {entry, std::max(entry, bounds.revoke - 200 * one_millisecond)};
@@ -81,9 +81,8 @@
     return bounds.apply - std::min(bounds.apply / 4, 200 * one_millisecond);
 }
 
-// The slack is one for the whole fleet, and each node may spend its store at one
-// moment. A store below one pays for nothing, so one is the least; a slack of 26
-// for each stored try leaves it to 26 nodes. A start, not measured.
+// The slack is for the whole fleet, and all nodes may spend their stored retries at the same moment: a 26th of it
+// for each node keeps the bound with up to 26 nodes. At least one, as less than one does not pay for a retry.
 auto most_extra_tries(FleetBounds const& bounds) -> double {
     return std::max(1.0, static_cast<double>(bounds.retry_slack) / 26.0);
 }
--- a/source/process/snapshot_holder.hpp
+++ b/source/process/snapshot_holder.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// The snapshot that requests are read against, swapped whole. docs/design.md section 14.
+// Holds the snapshot that requests are interpreted against; replaced atomically. docs/design.md section 14.
 #include <atomic>
 
 #include "control/snapshot.hpp"
 
 namespace dockrock {
 
-// One atomic pointer. (The library's std::atomic of a shared pointer unlocks
-// without ordering in the version we build with; its free functions do not.)
+// An atomic shared pointer. Uses the free functions, as std::atomic<std::shared_ptr> of the standard library we
+// build with unlocks without memory ordering.
 struct SnapshotHolder {
     SnapshotPointer pointer;
     auto load() const -> SnapshotPointer { return std::atomic_load(&pointer); }
--- a/source/process/storage.hpp
+++ b/source/process/storage.hpp
@@ -35,7 +35,7 @@
     std::uint64_t generation = 0;  // of the newest slot known to be synced; the next one goes to the other slot and log
     int log_descriptor = -1;
     std::size_t log_size = 0;
-    std::size_t log_most = std::size_t{1} << 20U;  // a longer log, also than twice the slot, starts a new slot
+    std::size_t log_most = std::size_t{1} << 20U;  // a log above this and above twice the slot ends in a new slot
     std::size_t slot_size = 0;
     std::function<void(FileEvent const&)> watch;
     // Set by tests: whether this operation on this file (or folder, "") fails.
