--- a/tests/disks_test.cpp
+++ b/tests/disks_test.cpp
@@ -1,5 +1,5 @@
-// Core nodes on disks that are full, stalled or well again, in the simulator: no restart, no
-// duty without a disk, nothing acknowledged lost. docs/design.md section 6.
+// Core nodes whose disks become full or stalled and recover, in the simulator: no restart is needed, a
+// node without a working disk has no duties, no acknowledged change is lost. docs/design.md section 6.
 #include <catch2/catch.hpp>
 
 #include "world_helpers.hpp"
@@ -25,7 +25,7 @@
     return world;
 }
 
-// As an operator does: the same change again, under its identity, until it is acknowledged.
+// Retries one change under the same identity until it is acknowledged, as an operator does.
 auto put_until_taken(World& world, std::size_t index, std::string const& document) -> bool {
     for (auto tries = 0; tries < 4; ++tries) {
         auto const number = world.put(index, document, "", "change of " + document);
@@ -35,7 +35,7 @@
     return false;
 }
 
-// The node is there, with no part in any decision.
+// The node runs but takes part in no decision.
 auto without_duties(World const& world, std::size_t index) -> bool {
     auto const& control = world.nodes[index]->control;
     return !control.membership.self.core &&
@@ -46,7 +46,8 @@
 
 }  // namespace
 
-TEST_CASE("the leader's disk is full for seconds: another takes over, and the node is of use again without a restart") {
+TEST_CASE(
+    "the leader's disk is full for seconds: another takes over, and the node has duties again without a restart") {
     for (auto seed = std::uint64_t{1}; seed <= 12; ++seed) {
         auto const world = seed % 2 == 0 ? formed(seed) : formed_for_two(seed);
         auto const edge = world->nodes.size() - 1;
@@ -67,7 +68,7 @@
     }
 }
 
-TEST_CASE("a core node that starts on a full or stalled disk stays without duties, then is who it was") {
+TEST_CASE("a core node that starts on a full or stalled disk has no duties until it gets its identity back") {
     for (auto seed = std::uint64_t{1}; seed <= 12; ++seed) {
         auto const world = seed % 2 == 0 ? formed(seed) : formed_for_two(seed);
         auto const edge = world->nodes.size() - 1;
@@ -90,7 +91,7 @@
 }
 
 TEST_CASE(
-    "all core nodes start on full disks: none forms anything, and the disks' state is in force once they are well") {
+    "all core nodes start on full disks: none forms a fleet, and the stored state is in force after they recover") {
     for (auto seed = std::uint64_t{1}; seed <= 6; ++seed) {
         auto const world = formed(seed);
         auto const edge = world->nodes.size() - 1;
@@ -132,5 +133,5 @@
         auto const settled = world->run_until_true([&] { return world->settled(); }, 12 * one_second);
         caught += settled && world->violations.empty() ? 0 : 1;
     }
-    CHECK(caught >= 3);  // where the change was under way at the right moment
+    CHECK(caught >= 3);  // caught only if the change was in progress at the right moment
 }
--- a/tests/recorded_disk.hpp
+++ b/tests/recorded_disk.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The disk as a recorded run of file operations leaves it at any point: what is surely there, what may or may not be,
-// and which files may be gone with their names.
+// A model of the disk after any prefix of a recorded run of file operations: what is durable, what may or may not be
+// there, and which files may be missing because their folder entry was not synced.
 #include <algorithm>
 #include <set>
 
@@ -12,12 +12,12 @@
 
 struct Recorded {
     std::vector<FileEvent> events;
-    std::vector<std::pair<std::size_t, std::uint64_t>> acknowledged;  // after so many events, this number
-    std::uint64_t written = 0;                                        // the highest that was ever asked for
+    std::vector<std::pair<std::size_t, std::uint64_t>> acknowledged;  // (number of events, number acknowledged by then)
+    std::uint64_t written = 0;                                        // the highest number passed to write()
 };
 
-// What is surely on the disk after the first events, and what may or may not be. Of what a
-// failed sync covered nothing is known, whatever a later sync of the same file says.
+// A write that may or may not be on the disk. doubtful: a failed sync covered it, so its state is unknown even after
+// a later successful sync of the same file.
 struct Pending {
     FileEvent event;
     bool doubtful = false;
@@ -25,8 +25,9 @@
 struct Disk {
     std::map<std::string, std::string> files;
     std::vector<Pending> pending;
-    std::set<std::string> named;         // their names last
-    std::vector<std::string> new_files;  // made since the folder was synced: each may be gone, whatever it holds
+    std::set<std::string> named;  // files whose names are durable
+    // created since the last folder sync: each may be missing, even if its content was synced
+    std::vector<std::string> new_files;
 };
 
 inline auto apply(std::map<std::string, std::string>& files, FileEvent const& event, bool torn) -> void {
@@ -36,7 +37,7 @@
 }
 
 inline auto sync(Disk& disk, std::string const& file) -> void {
-    auto emptied = disk.pending.size();  // what lies before a synced emptying of the file is gone for good
+    auto emptied = disk.pending.size();  // writes before a synced truncation of the file are gone for good
     for (auto place = std::size_t{0}; place < disk.pending.size(); ++place) {
         auto const& [event, doubtful] = disk.pending[place];
         if (event.file == file && event.kind == Kind::truncated && !doubtful) emptied = place;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,5 +1,5 @@
-// Recovery from every prefix of a run of disk writes, with what was not synced
-// lost, torn or reordered, and any file lost whose name no sync of its folder covers. docs/design.md section 6.
+// Recovery from every prefix of a recorded run of disk writes: unsynced writes are lost, torn or
+// reordered, and files whose names no folder sync covers may be lost. docs/design.md section 6.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -37,14 +37,14 @@
     return number;
 }
 
-// Whether the operation with this number fails.
+// Returns whether the operation with this number fails.
 using Refuses = std::function<bool(int number, Kind kind)>;
 
 auto record_run(bool sync_lies, Refuses const& refuses = {}) -> Recorded {
     auto const folder = Folder("record");
     Recorded run;
     Storage storage;
-    storage.log_most = 700;  // a few saves, then the other slot
+    storage.log_most = 700;  // so that a few saves fill the log and the other slot is written
     storage.watch = [&](FileEvent const& event) {
         if (!sync_lies || event.kind != Kind::synced) run.events.push_back(event);
     };
@@ -86,13 +86,13 @@
     auto const number = highest(storage);
     tally.older += number < least ? 1 : 0;
     tally.newer += number > most ? 1 : 0;
-    for (auto const& partition : storage.state.partitions)  // claims are whole up to what is recovered
+    for (auto const& partition : storage.state.partitions)  // every claim up to the recovered number is present
         for (auto earlier = std::uint64_t(partition.partition == 0 ? 2 : 1); earlier <= partition.votes.sealed;
              earlier += 2)
             if (partition.claims.find("key-" + std::to_string(earlier) + " ") == std::string::npos) ++tally.older;
 }
 
-// The same files once more for each choice of new ones that are gone.
+// Recovers once for each subset of the new files that may be missing.
 auto recover_without_new(
     Disk const& disk, std::map<std::string, std::string> const& files, std::uint64_t least, std::uint64_t most,
     Tally& tally) -> void {
@@ -113,8 +113,7 @@
             if (after <= count) least = number;
         REQUIRE(disk.pending.size() < 12);
         for (auto chosen = std::size_t{0}; chosen < std::size_t{1} << disk.pending.size(); ++chosen) {
-            for (auto torn :
-                 {false, true}) {  // any of what was not synced, in any combination, the last one torn or not
+            for (auto torn : {false, true}) {  // any subset of the unsynced writes, the last one torn or not
                 auto files = disk.files;
                 auto last = disk.pending.size();
                 for (auto place = std::size_t{0}; place < disk.pending.size(); ++place)
@@ -130,7 +129,8 @@
 
 }  // namespace
 
-TEST_CASE("recovery from every prefix of writes, unsynced ones lost, torn or reordered, is never older than told") {
+TEST_CASE(
+    "recovery from every prefix of writes, unsynced ones lost, torn or reordered, is never older than acknowledged") {
     auto const run = record_run(false);
     auto const tally = recover_from_all(run);
     INFO(tally.tried << " recoveries of " << run.events.size() << " events");
@@ -156,7 +156,7 @@
 
 TEST_CASE("planted: a disk that forgets to sync is caught by the same recoveries") {
     auto run = record_run(true);
-    // Without syncs all stays pending: keep the last few writes of the run.
+    // Without syncs every write stays pending: keep only a few, as each subset is tried.
     auto kept = std::vector<FileEvent>();
     for (auto const& event : run.events)
         if (event.kind != Kind::folder_synced) kept.push_back(event);
@@ -168,7 +168,7 @@
     CHECK(tally.older + tally.refused > 0);
 }
 
-TEST_CASE("recovery from every prefix of a run in which operations fail is never older than told either") {
+TEST_CASE("recovery from every prefix of a run in which operations fail is never older than acknowledged") {
     auto tried = 0;
     for (auto first = 0; first < 48; first += 6) {
         for (auto length : {1, 4}) {
@@ -185,7 +185,7 @@
     CHECK(tried > 1'000);
 }
 
-TEST_CASE("planted: a failed sync that is only tried again, the file left as it is, is caught") {
+TEST_CASE("planted: a failed sync that is only retried, without rewriting the file, is caught") {
     auto run = record_run(false);
     std::vector<FileEvent> events;
     for (auto const& event : run.events) {
--- a/tests/spawn_test.cpp
+++ b/tests/spawn_test.cpp
@@ -1,4 +1,4 @@
-// What an exception that leaves a coroutine of the node does. docs/design.md section 14.
+// The effect of an exception that leaves one of the node's coroutines. docs/design.md section 14.
 #include <catch2/catch.hpp>
 
 #include "process/loop_entry.hpp"
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-// Guards against an exception of one connection that ends the node, or that nobody hears of.
-TEST_CASE("an exception of one connection ends that one, is counted, and leaves nothing open") {
+// Guards against an exception of one connection that ends the node, or that is dropped silently.
+TEST_CASE("an exception of one connection ends only that one, is counted, and leaves no open count behind") {
     auto context = asio::io_context(1);
     Counters counters;
     auto open = std::atomic<int>(0);
--- a/tests/stop_entry_test.cpp
+++ b/tests/stop_entry_test.cpp
@@ -1,4 +1,4 @@
-// Until when a stopping node takes requests. docs/design.md section 13.
+// Until when a stopping node admits requests. docs/design.md section 13.
 #include <catch2/catch.hpp>
 
 #include "process/settings.hpp"
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -51,10 +51,10 @@
     REQUIRE(again.open(folder.path) == LoadResult::loaded);
     CHECK(again.state.identity == "me");
     REQUIRE(again.state.partitions.size() == 2);
-    CHECK(again.state.partitions[0].copy->document == "one");  // the torn entry never was acknowledged
+    CHECK(again.state.partitions[0].copy->document == "one");  // the torn entry was never acknowledged
 }
 
-TEST_CASE("a bad middle is damage, not a torn tail") {
+TEST_CASE("a bad entry before good ones is damage, not a torn tail") {
     auto folder = Folder();
     auto storage = Storage();
     REQUIRE(storage.open(folder.path) == LoadResult::fresh);
@@ -92,7 +92,7 @@
     CHECK(again.state.partitions[0].copy->sequence.number == 59);
 }
 
-TEST_CASE("a full disk: nothing is appended behind a failed write, all is written anew to the other slot") {
+TEST_CASE("a full disk: nothing is appended after a failed write, the whole state is rewritten to the other slot") {
     std::signal(SIGXFSZ, SIG_IGN);
     auto folder = Folder();
     auto storage = Storage();
@@ -128,7 +128,7 @@
     return storage.state.partitions.empty() ? 0 : storage.state.partitions[0].votes.sealed;
 }
 
-// The folder as a process finds it that starts now.
+// The number that a newly started process would load from the folder.
 auto number_on_disk(std::filesystem::path const& path) -> std::optional<std::uint64_t> {
     auto storage = Storage();
     if (storage.open(path) != LoadResult::loaded) return std::nullopt;
@@ -136,7 +136,8 @@
 }
 }  // namespace
 
-TEST_CASE("whatever operations fail, and for how long: what was told stays, and a repaired disk holds all") {
+TEST_CASE(
+    "whichever operations fail, and however many: acknowledged state stays, and a repaired disk holds everything") {
     auto failures = 0;
     for (auto first = 0; first < 30; ++first) {
         for (auto length : {1, 4}) {
@@ -172,13 +173,13 @@
     REQUIRE(storage.begin("me", 1));
     storage.close();
     std::filesystem::remove(folder.path / "log-b");
-    std::filesystem::create_directory(folder.path / "log-b");  // reading it is an error
+    std::filesystem::create_directory(folder.path / "log-b");  // reading a directory as a file fails
     CHECK(Storage().open(folder.path) == LoadResult::failed);
     std::ofstream(folder.path / "plain") << "a file";
     CHECK(Storage().open(folder.path / "plain" / "below") == LoadResult::failed);
 }
 
-TEST_CASE("a slot whose sync failed is written once more, the pair before it left alone, also by a later process") {
+TEST_CASE("a slot whose sync failed is rewritten, the pair before it is kept, also by a later process") {
     auto folder = Folder();
     auto storage = Storage();
     REQUIRE(storage.open(folder.path) == LoadResult::fresh);
@@ -186,7 +187,7 @@
     REQUIRE(storage.write({saved(0, 1, "told")}));
     auto const newest = storage.generation;
     storage.refuses = [](Kind kind, std::string const& file) { return kind == Kind::synced && file != "log-b"; };
-    REQUIRE_FALSE(storage.begin("me", 2));  // the bytes of the slot are there, and may be gone after a loss of power
+    REQUIRE_FALSE(storage.begin("me", 2));  // the slot's bytes are readable, but may be lost at a power failure
     storage.close();
     auto later = Storage();
     REQUIRE(later.open(folder.path) == LoadResult::loaded);
@@ -211,7 +212,7 @@
 
 TEST_CASE("a data folder of the former format, with one understudy a record, still loads") {
     auto folder = Folder();
-    // As the former release wrote them: a slot, and one entry of the log.
+    // A slot and one log entry, as the former release wrote them.
     auto const state = std::string(
         R"({"identity":"core-a","incarnation":7,"parts":[{"part":0,"votes":{"decided":{"epoch":2,"primary":"cor)"
         R"(e-b","understudy":"core-a","voters":["core-a","core-b","core-c","core-d"]},"promised":{"round":3,"no)"
@@ -237,7 +238,7 @@
     CHECK(storage.state.partitions[0].copy->document == "kept");
     CHECK(
         storage.state.partitions[1].votes.decided == Record{2, "core-a", {}, {"core-a"}});  // it was its own understudy
-    REQUIRE(storage.begin("core-a", 8));  // written back, it is of this format
+    REQUIRE(storage.begin("core-a", 8));  // writes it in the present format
     storage.close();
     auto again = Storage();
     REQUIRE(again.open(folder.path) == LoadResult::loaded);
--- a/tests/transport_helpers.hpp
+++ b/tests/transport_helpers.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Addresses of transports under test, and the frames they hear, awaited by their count.
+// Addresses for transports under test, and a counter of received frames that tests can wait on.
 #include <chrono>
 #include <condition_variable>
 #include <mutex>
--- a/tests/transport_stop_test.cpp
+++ b/tests/transport_stop_test.cpp
@@ -1,4 +1,5 @@
-// A transport that is stopped ends, whatever its reader is at. docs/incidents/start-failures.md.
+// A transport stops in time, whatever its reader is doing. A receive that starts during the stop could block it for
+// ever. docs/incidents/start-failures.md.
 #include <catch2/catch.hpp>
 
 #include <boost/asio.hpp>
@@ -20,11 +21,11 @@
 constexpr auto frames_before_stop = std::uint64_t{20};
 constexpr auto stop_port = std::uint16_t{22'870};
 
-constexpr auto greeting = std::string_view("\0SP\0\0\x50\0\0", 8);  // of a sender, in the library's protocol
+constexpr auto greeting = std::string_view("\0SP\0\0\x50\0\0", 8);  // a sender's greeting in the library's protocol
 constexpr auto frame = std::string_view("\0\0\0\0\0\0\0\x08no frame", 16);
 constexpr auto frames_at_once = 64;
 
-// Sends without a pause to whoever listens at the port; the frames are none of ours.
+// Sends frames that are not in our format to the port without a pause.
 struct Flood {
     std::atomic<bool> over{false};
     std::thread sender;
@@ -67,7 +68,7 @@
         auto end = ended->get_future();
         auto stopper = std::thread([stopped, ended] { ended->set_value(stopped->stop()); });
         auto const in_time = end.wait_for(stop_limit) == std::future_status::ready;
-        if (!in_time) {  // nothing ends it any more
+        if (!in_time) {  // it is blocked for ever
             stopper.detach();
             static_cast<void>(transport.release());
         }
@@ -75,6 +76,6 @@
         CHECK(in_time);
         if (!in_time) break;
         stopper.join();
-        if (!end.get()) break;  // the library is stuck in this close; no further one in this process means anything
+        if (!end.get()) break;  // the library is blocked in this close, and so are all later ones in this process
     }
 }
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,4 +1,4 @@
-// Connections between nodes where a connection attempt was lost on its way. docs/design.md section 3.
+// Connections between nodes after a connection attempt (a SYN) was lost. docs/design.md section 3.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr auto fleet_name = "orchard";
-// A lost connection attempt is sent again by the system after a second; what is redialled is well under it.
+// The kernel repeats a lost connection attempt after a second; a redial by the transport is well below that.
 constexpr auto patience = std::chrono::milliseconds(600);
-constexpr Microseconds dial_age = one_second;  // later than any patience with an attempt
+constexpr Microseconds dial_age = one_second;  // longer than the limit of any first attempt
 
 auto loopback(std::uint16_t port) -> sockaddr_in {
     auto address = sockaddr_in{};
@@ -33,7 +33,7 @@
     return handle;
 }
 
-// A port that drops connection attempts, as a machine without power does.
+// A port that drops connection attempts, like a machine without power: its accept queue is full.
 struct DarkPort {
     int listener = -1;
     std::vector<int> fillers;
@@ -67,7 +67,7 @@
     return pack_frame({fleet_name, "node at " + address, address, 1, "{}"});
 }
 
-// A node that runs, and one at a port that is dark until its power is on.
+// A running node, and one whose port drops connection attempts until power_on().
 struct LivingAndDark {
     DarkPort dark;
     std::string const here = address_of(free_port());
@@ -88,7 +88,8 @@
         REQUIRE(returned.start(there, fleet_name, heard_there.hear()).empty());
     }
     auto send(Microseconds now) -> void { living.send(there, frame_from(here), now); }
-    // An attempt begun at `since` is given up after `limit`, no sooner. Returns when that was.
+    // Checks that an attempt begun at `since` is abandoned after `limit` and not before; returns the time of the
+    // redial.
     auto dials_after(Microseconds limit, Microseconds since) -> Microseconds {
         auto const dials = living.dials.load();
         send(since + limit);
@@ -101,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE("a node that was dark when it was dialled is answered as soon as it is heard") {
+TEST_CASE("a node that was unreachable when it was dialled is answered as soon as it is heard") {
     auto nodes = LivingAndDark();
     nodes.send(0);  // its connection attempt is lost
     REQUIRE_FALSE(nodes.heard_there.reaches(1, std::chrono::milliseconds(50)));
@@ -112,7 +113,7 @@
     CHECK(nodes.heard_there.reaches(1, patience));
 }
 
-TEST_CASE("a lost connection attempt to a peer that says nothing is made anew, and later each time") {
+TEST_CASE("a lost connection attempt to a silent peer is repeated, after a longer time up to a limit") {
     auto nodes = LivingAndDark();
     auto now = one_second;
     nodes.send(now);
@@ -137,7 +138,7 @@
     peer.stop();
 }
 
-TEST_CASE("a connection that stands is kept when its other end is heard") {
+TEST_CASE("an established connection is kept when its other end is heard") {
     auto const here = address_of(free_port());
     auto const there = address_of(free_port());
     auto heard_here = Heard();
