--- a/tests/node_settings.py
+++ b/tests/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the platform's program for nodes that are tested alone on loopback."""
+"""Settings files of the platform's program, for tests of single nodes on loopback."""
 
 import pathlib
 
--- a/tests/node_stop_test.py
+++ b/tests/node_stop_test.py
@@ -1,5 +1,5 @@
-"""A node that is told to end does so with status 0 within `graceS`: while frames come in without a pause, when it is
-told again meanwhile, and while its disk hangs."""
+"""A node that receives SIGTERM exits with status 0 within `graceS`: also while frames arrive without a pause, when the
+signal is repeated, and while its disk hangs."""
 
 import dataclasses
 import os
@@ -17,21 +17,21 @@
 
 NODES = 8
 ROUNDS = 4
-SENDERS = 2  # to each node
+SENDERS = 2  # for each node
 START_LIMIT_S = 10
 STALL_LOOK_S, STALL_S = 0.05, 2.0
 LATE_LIMIT_S = 60
 POLL_S = 0.02
 LAST_LINES = 3
-UNDER_WAY_S = 0.5  # of frames, before the end
+UNDER_WAY_S = 0.5  # of frames, before the signal
 SIGNALS = {"told once": [0.0], "told in series": [0.0, 0.2, 0.3, 1.5]}  # seconds from the first one
-GREETING = b"\0SP\0\0\x50\0\0"  # of a sender, in the messaging library's protocol over TCP
+GREETING = b"\0SP\0\0\x50\0\0"  # a sender's greeting in the messaging library's protocol over TCP
 FRAMES = (struct.pack(">Q", 8) + b"no frame") * 500
 
 
 @dataclasses.dataclass
 class Ending:
-    """How a node ended: its status or "still there", when (from the first signal on), its threads where it was late."""
+    """How a node ended: its exit status or "still there", seconds from the first signal, threads if late."""
 
     status: object
     seconds: float
@@ -39,7 +39,7 @@
 
 
 class MachineStalls:
-    """For how long a processor ran no work: a thread on each one wakes often, and tells how late it did."""
+    """Measures for how long a processor was stalled: a thread on each one wakes often and records how late it did."""
 
     def __init__(self):
         now, self.over = time.monotonic(), threading.Event()
@@ -61,7 +61,7 @@
             self.woken[processor] = now
 
     def end(self):
-        """Seconds for which the worst processor ran no work, also where it runs none yet."""
+        """Seconds for which the worst processor was stalled, including a stall that still lasts."""
         self.over.set()
         now = time.monotonic()
         for processor in self.woken:
@@ -70,7 +70,7 @@
 
 
 def send_frames(address, over):
-    """Sends frames that are none of ours, until the node is gone or the round is over."""
+    """Sends frames that are not in the nodes' format until the node is gone or the round is over."""
     while not over.is_set():
         try:
             with socket.create_connection((address, PORTS["first"]), timeout=1) as connection:
@@ -122,19 +122,19 @@
 
 
 def threads_of(process):
-    """What each thread waits in, and its processor time so far in ticks, where the system tells."""
+    """The name, state and processor time in ticks of each thread that can still be read."""
     found = []
     for task in sorted(pathlib.Path("/proc/%d/task" % process.pid).iterdir()):
         try:
             words = (task / "stat").read_text().rsplit(")", 1)[1].split()
             found.append("%s %s %s" % ((task / "comm").read_text().strip(), words[0], int(words[11]) + int(words[12])))
         except OSError:
-            continue  # it has ended meanwhile
+            continue  # the thread has ended
     return found
 
 
 def endings(processes, began):
-    """How each ended. One that is late is waited for as well, so that it can be told from one that never ends."""
+    """How each node ended. Late nodes are waited for too, to distinguish them from nodes that never end."""
     ended, at_work = {}, {}
     while len(ended) < len(processes) and time.monotonic() - began < GRACE_S + LATE_LIMIT_S:
         now = time.monotonic() - began
@@ -155,18 +155,18 @@
 
 
 def wrong_endings(found, stalled):
-    """A node may be late by no more than the time for which the worst processor ran no work."""
+    """The nodes that failed or ended too late. A node may be late by the stall of the worst processor, no more."""
     return {number: end for number, end in enumerate(found) if end.status != 0 or end.seconds > GRACE_S + stalled}
 
 
 def last_words(folder, number):
-    """The end of a node's log."""
+    """The last lines of a node's log."""
     log = pathlib.Path(folder) / str(number) / "settings.log"
     return log.read_text(errors="replace").splitlines()[-LAST_LINES:]
 
 
 def stopped(program, moments):
-    """How many nodes of a round did not end as they should."""
+    """The number of nodes of a round that did not end correctly."""
     stalls = MachineStalls()
     with tempfile.TemporaryDirectory() as folder:
         nodes = [start(program, folder, number) for number in range(NODES)]
@@ -190,7 +190,7 @@
 
 
 def stopped_while_disk_hangs(program, shim):
-    """Whether a core node whose syncs never return did not end as it should."""
+    """Whether a core node whose syncs never return failed to end correctly."""
     stalls = MachineStalls()
     with tempfile.TemporaryDirectory() as made:
         folder, address = pathlib.Path(made), "127.9.7.200"
--- a/tests/process_limits_test.py
+++ b/tests/process_limits_test.py
@@ -1,4 +1,4 @@
-"""A node under the limits of its machine, as the kernel enforces them: it runs inside them, or says why it cannot."""
+"""A node under resource limits that the kernel enforces: it runs within them, or says why it cannot."""
 
 import resource
 import signal
@@ -18,7 +18,7 @@
 FEW_DESCRIPTORS, SETTLED_S = 128, 0.5
 NEEDS = "memory: the start needs"
 MANY_CLIENTS, TEST_DESCRIPTORS = 2_900, 8_192
-REDIALLED_S = 2.5  # a seed that never answers is dialled anew after 1.5 s
+REDIALLED_S = 2.5  # a seed that never answers is redialled after 1.5 s
 MEBIBYTE = 1 << 20
 
 
@@ -44,7 +44,7 @@
 
 
 def starts_under(core, *limits):
-    """Bears these limits of the kernel, in MiB, from its start to its polite end."""
+    """The node runs under these kernel limits, in MiB, from its start to its graceful stop."""
 
     def case(program, folder):
         with Node(program, folder, core, [(which, value * MEBIBYTE) for which, value in limits]) as node:
@@ -59,7 +59,7 @@
 
 
 def ends_when_told_as_it_starts(program, folder):
-    """A core node waits for its disk for 0.6 s before it goes on without."""
+    """A core node waits 0.6 s for its disk before it starts without it; signals during that time take effect."""
     with Node(program, folder, core=True, data="settings.toml/none") as node:
         time.sleep(DISK_WAITED_FOR_S / 3)
         if '"event":"started"' in node.told():
@@ -82,7 +82,7 @@
 
 
 def bears_long_bodies(program, folder):
-    """Clients whose bodies together are more than the memory that the node may take."""
+    """Clients send bodies that together exceed the memory that the node may use."""
     with Node(program, folder) as node:
         if not node.starts():
             return "it does not start: " + node.told()
@@ -107,7 +107,7 @@
 
 
 def stays_reachable_when_clients_hold_all(program, folder):
-    """More clients rest at its door than it has descriptors."""
+    """More clients hold idle connections than the node has descriptors."""
     with Node(program, folder, limits=[(resource.RLIMIT_NOFILE, FEW_DESCRIPTORS)]) as node:
         if not node.starts():
             return "it does not start: " + node.told()
@@ -123,7 +123,7 @@
 
 
 def holds_unfinished(request, *limits):
-    """Many clients whose requests do not go on: each of them waits or is told 503, none is reset."""
+    """Many clients send incomplete requests: each connection stays open or gets a 503, none is reset."""
 
     def case(program, folder):
         with Node(program, folder, limits=limits) as node:
@@ -150,7 +150,7 @@
 
 
 def needs_no_thread_once_it_runs(program, folder):
-    """From its start on there is no room for another stack."""
+    """Once the node runs, its address space has no room for another thread's stack."""
     with Node(program, folder) as node:
         if not node.starts():
             return "it does not start: " + node.told()
--- a/tests/start_failures_test.py
+++ b/tests/start_failures_test.py
@@ -1,4 +1,4 @@
-"""A node that can't start ends at once and says why on standard error, whatever its log is set to."""
+"""A node that can't start ends at once and reports why on standard error, whatever the log settings."""
 
 import os
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def ended(program, text, *options):
-    """Status and standard error of a node under these settings; none: no settings file at all."""
+    """Exit status and standard error of a node with these settings; None: without a settings file."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "settings.toml"
         if text is not None:
@@ -32,7 +32,7 @@
 
 
 def busy(port):
-    """A socket that holds this port of the node's address."""
+    """A socket that occupies this port of the node's address."""
     held = socket.socket()
     held.bind((ADDRESS, port))
     held.listen(1)
@@ -41,7 +41,7 @@
 
 def main(build):
     program = platform_program(build)
-    good = edge_settings("edge-1", ADDRESS).replace("graceS = 8", "graceS = 1")  # so long it waits for an address
+    good = edge_settings("edge-1", ADDRESS).replace("graceS = 8", "graceS = 1")  # how long it waits for an address
     cases = [
         ("no file", None, None, "cannot read"),
         ("not TOML", "nodeName = ", None, "not TOML at line 1"),
