--- a/tests/process_limits_test.py
+++ b/tests/process_limits_test.py
@@ -18,7 +18,7 @@
 FEW_DESCRIPTORS, SETTLED_S = 128, 0.5
 NEEDS = "memory: the start needs"
 MANY_CLIENTS, TEST_DESCRIPTORS = 2_900, 8_192
-REDIALLED_S = 2.5  # a seed that never answers is dialled anew after 1.5 s
+REDIALLED_S = 2.5  # a seed that never answers is redialled after 1.5 s
 MEBIBYTE = 1 << 20
 
 
@@ -59,7 +59,7 @@
 
 
 def ends_when_told_as_it_starts(program, folder):
-    """A core node waits for its disk for 0.6 s before it goes on without."""
+    """A core node waits 0.6 s for its disk before it starts without it; signals during that time take effect."""
     with Node(program, folder, core=True, data="settings.toml/none") as node:
         time.sleep(DISK_WAITED_FOR_S / 3)
         if '"event":"started"' in node.told():
