--- a/source/connection/message_reader.hpp
+++ b/source/connection/message_reader.hpp
@@ -24,7 +24,8 @@
 auto malformed_answers() -> std::atomic<std::uint64_t>&;
 
 // Reads until the head is complete; bytes after it stay in `buffer`. Errors: those of the stream and of Beast
-// (http::error), end_of_stream if nothing arrived, not_enough_memory or protocol_error if Beast threw.
+// (http::error), end_of_stream if nothing arrived, not_enough_memory if the memory for the message is not available,
+// protocol_error if Beast threw anything else.
 template <typename Stream, bool is_request>
 auto read_head(Stream& stream, beast::flat_buffer& buffer, MessageParser<is_request>& parser)
     -> awaitable<boost::system::error_code>;
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -66,6 +66,8 @@
         HttpRequest const& request, RelayInterpretation interpretation, RequestLifecycle& lifecycle,
         RelayAnswer& answer) -> awaitable<bool>;
     auto wait_for_placement(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
+    // Answers with an error; with 503 instead if this node's state is too old for this status. Whether the connection
+    // can be used further.
     auto refuse(HttpRequest const& request, int status, std::string reason, std::string retry_after = std::string())
         -> awaitable<bool>;
     auto begin_watch() -> void;
@@ -77,7 +79,8 @@
 };
 
 // The request head sent to the replica. Hop-by-hop fields and the fields that the router sets are never taken from the
-// client. `time_left`: time until the replica must stop working on the request.
+// client. `last_event`: number of the last event that the client received, -1: none; `time_left`: time until the
+// replica must stop working on the request.
 auto head_for_replica(
     WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& lifecycle,
     std::int64_t last_event, Microseconds time_left) -> std::string;
--- a/source/connection/replica_pool.hpp
+++ b/source/connection/replica_pool.hpp
@@ -36,7 +36,8 @@
     auto take(std::string const& replica, Microseconds now) -> ReplicaConnectionPointer;
     auto give_back(std::string const& replica, ReplicaConnectionPointer connection, Microseconds now) -> void;
     // Records that a connection was reset at its first reuse after this idle time: the replica side had dropped it
-    // without closing it. For the next 20 s, connections idle for more than half of that time are not reused.
+    // without closing it. For the next 20 s, connections idle for half of that time or longer are not reused; the limit
+    // is never below 40 ms.
     auto record_stale_connection(Microseconds idle_before_reuse, Microseconds now) -> void;
     // Closes expired connections, and those to replicas that are not in `replicas`.
     auto sweep(std::set<std::string> const& replicas, Microseconds now) -> void;
--- a/source/control/cache_feed.hpp
+++ b/source/control/cache_feed.hpp
@@ -34,14 +34,11 @@
 struct CacheFeed {
     // How far this node knows the events of a source: all before `next`.
     struct Cursor {
-        std::string life;
+        std::string life;  // instance of the source; events are numbered within it
         std::uint64_t next = 0;
     };
-    enum class BatchPosition {
-        known,
-        follows,
-        gap
-    };  // of a batch: already known, next one, events before it are missing
+    // Of a batch: already known, the next one, or one with missing events before it (also after a source's restart).
+    enum class BatchPosition { known, follows, gap };
     struct Entry {
         std::uint64_t position = 0;
         bool own = false;  // read by this node itself
@@ -55,7 +52,7 @@
     };
     struct Taken {
         CacheBatch batch;
-        bool gap = false;  // events before it are missing
+        bool gap = false;  // events before it are missing, or the source restarted
     };
 
     std::uint64_t id = 0;  // of this process's log, random
@@ -67,8 +64,10 @@
 
     // Compares a batch with the cursor of its source and advances the cursor.
     auto advance_cursor(CacheBatch const& batch) -> BatchPosition;
+    // Appends to the log; the oldest batches are removed beyond its size limit.
     auto add(CacheBatch batch, bool own) -> void;
     auto answer(FeedAsk const& ask) const -> FeedAnswer;
+    // The request for a node's next batches; `own`: only those that the node read itself.
     auto ask(std::string const& relay, bool own, Microseconds now) -> FeedAsk;
     // The batches of an answer that were not known.
     auto take(std::string const& relay, FeedAnswer answer) -> std::vector<Taken>;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -110,6 +110,7 @@
         -> ControlOutput;
     auto saved(Microseconds now, std::uint64_t token, bool ok) -> ControlOutput;
     auto call(Microseconds now, std::uint64_t local_token, Call const& asked) -> ControlOutput;
+    // Recovers the fleet after the loss of all core disks, by an operator's order (design 5.9).
     auto recover_fleet(Microseconds now, std::uint64_t local_token) -> ControlOutput;
     auto claim(Microseconds now, std::uint64_t local_token, ClaimAsk ask) -> ControlOutput;
     // Takes a newer live text of a partition, from its reader or leader (design 8.4 and 11).
@@ -118,11 +119,13 @@
         return live_read(configuration_partition, now, asked_at, text);
     }
     auto list_read_due(Microseconds now) const -> bool;
+    // Sends this node's load digest to all alive nodes that do not rest.
     auto digest(std::string const& body, std::uint64_t number, std::set<std::string> const& resting_nodes)
         -> ControlOutput;
 
     // Decides by the number of alive nodes whether load goes through relays (design 9.8).
     auto update_load_relaying() -> bool;
+    // The number of alive edge nodes, which place requests; at least 1.
     auto nodes_placing() const -> std::int64_t;
     // Sends this node's load to its relay; `held` is the last sum it has of the relay `held_of`.
     auto report_load(
@@ -134,6 +137,7 @@
     auto cache_read(CacheBatch batch) -> void;
     auto cache_caught_up(CacheBatch const& batch) -> bool;
 
+    // Moves leadership, copies and votes to other core nodes; sets `pending` while some are left here.
     auto hand_over(Microseconds now, bool& pending) -> ControlOutput;
     auto leave() -> ControlOutput;
     auto leads(int partition, Microseconds now) const -> bool {
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -15,7 +15,7 @@
     Microseconds lost = 10 * one_second;            // and reports older than this are dropped
     Microseconds names_interval = one_second / 2;
     Microseconds frozen_gap = one_second / 2;          // a longer time between ticks means the process was frozen;
-    Microseconds ignore_time = 200 * one_millisecond;  // it then ignores reports, which are outdated
+    Microseconds ignore_time = 200 * one_millisecond;  // it then drops its data and ignores queued reports
     Microseconds silence = 600 * one_millisecond;      // a relay that does not answer for so long is replaced,
     Microseconds avoid = 5 * one_second;               // and not chosen again for so long
 };
@@ -47,15 +47,17 @@
     };
     std::deque<Sum> sums;  // newest last
     Microseconds summed_at = 0;
-    std::map<std::uint64_t, std::string>
-        differences;    // by number of an older sum: its encoded difference to the newest
+    // By number of an older sum: its encoded difference to the newest.
+    std::map<std::uint64_t, std::string> differences;
     std::string whole;  // the newest sum, encoded
     Microseconds shared_at = 0;
     Microseconds named_at = 0;
     Microseconds ticked_at = 0;
     Microseconds ignore_until = 0;
 
+    // Takes the report of a node; returns the newest sum as answer, nothing if the report is invalid or outdated.
     auto take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum>;
+    // Takes the sum of another relay.
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
     // The sum to send to other relays now; nothing while no node reports here.
     auto tick(Microseconds now) -> std::optional<LoadShare>;
@@ -79,6 +81,7 @@
     std::map<std::string, Microseconds> avoided;  // by relay: until when it is not used
     bool relayed = false;                         // load reports go through relays now
 
+    // Null if there is no core node.
     auto choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const*;
     auto heard(std::string const& from, Microseconds now) -> void;
 };
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -16,7 +16,7 @@
     Microseconds service_ask_limit = 900 * one_millisecond;
     Microseconds direct = 2 * one_second;  // how long a relay that was silent or behind is bypassed
     Microseconds resting_interval = one_second;
-    Microseconds proof_limit = 1'500 * one_millisecond;  // older: no requests are admitted (scheduler.hpp)
+    Microseconds proof_limit = 1'500 * one_millisecond;  // older: no requests are placed (scheduler.hpp)
     Microseconds shed_limit = 4 * one_second;            // older: requests are shed at once
     Microseconds list_interval = 300 * one_millisecond;
     Microseconds list_fallback = 1'200 * one_millisecond;
@@ -24,7 +24,7 @@
     Microseconds call_unsent_limit = 2'500 * one_millisecond;
     Microseconds call_refused_limit = 800 * one_millisecond;  // if no leader can be reached
     Microseconds call_resend = 700 * one_millisecond;
-    Microseconds call_each_mebibyte = 500 * one_millisecond;  // added to each of the above per MiB of body
+    Microseconds call_each_mebibyte = 500 * one_millisecond;  // added to each call time above, per MiB of body
     Microseconds claim_limit = 4 * one_second;
     Microseconds claim_resend = 150 * one_millisecond;
 };
@@ -81,6 +81,7 @@
     int unanswered = 0;
 };
 
+// The digest by which documents and live texts are compared and checked.
 auto digest_of(std::string_view text) -> std::uint64_t;
 // Moves the outstanding request to the past ones, so that a late answer is still recognized.
 auto retire_request(PartitionView& item, bool answered) -> void;
--- a/source/control/resting_policy.hpp
+++ b/source/control/resting_policy.hpp
@@ -31,6 +31,7 @@
     // The new set of resting nodes; nothing if it equals `now_resting`.
     auto step(std::vector<EdgeTraffic> const& edges, std::set<std::string> const& now_resting, Microseconds now)
         -> std::optional<std::set<std::string>>;
+    // How many edge nodes must stay awake: for the traffic and its headroom, one per area, plus `loss_slack`.
     auto least_awake(std::vector<EdgeTraffic> const& edges) const -> std::size_t;
 
    private:
--- a/source/control/version_times.hpp
+++ b/source/control/version_times.hpp
@@ -16,7 +16,7 @@
 
 struct VersionTimes {
     static constexpr std::size_t most = 64;
-    std::map<std::int64_t, Microseconds> at;
+    std::map<std::int64_t, Microseconds> at;  // by version: when it became the target, by this node's clock
 
     // True if it was not known. Versions only increase.
     auto take(std::int64_t version, Microseconds now) -> bool {
--- a/source/control/weights_controller.hpp
+++ b/source/control/weights_controller.hpp
@@ -43,6 +43,7 @@
 
     std::map<std::string, VersionTimes> version_times;  // by model, since the start of the process, as leader or not
 
+    // The orders and report requests that are due now at the partitions that this node leads.
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions;
     auto order_ended(AddressedOrder const& order, OrderResult end, Microseconds now) -> void;
     auto reported(
--- a/source/control/weights_guard.hpp
+++ b/source/control/weights_guard.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A node's own guard against replicas with older weights, in addition to the states that
 // the leader publishes: near the deadline by which target weights must serve everywhere, no
-// new requests go to replicas with older ones. After a start, the same holds for a short
-// time for models whose target version this node does not know yet.
+// new requests go to replicas with older ones. For a short time after a start, none go
+// to replicas of models whose target version this node does not know yet either.
 // docs/design.md section 11.4.
 #include <algorithm>
 #include <bitset>
