--- a/source/connection/http_client.hpp
+++ b/source/connection/http_client.hpp
@@ -77,6 +77,8 @@
     explicit HttpConnection(asio::any_io_executor executor) : stream(std::move(executor)) {}
     // Connects if the connection is not open, so that a caller can make its final decision right before `call`.
     auto ensure_open(std::string address, Microseconds limit) -> awaitable<bool>;
+    // Sends a call. `not_sent` if the connection was lost between `ensure_open` and its first call: it is not reopened
+    // then, since the caller's decision may be outdated.
     auto call(std::string address, HttpCall wanted, Microseconds limit) -> awaitable<HttpAnswer>;
     auto close() -> void;
 };
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -174,7 +174,7 @@
                 answer.trace.failure = result.end == TryEnd::answered ? std::string() : result.reason;
                 node.try_ended(replica, lifecycle.inference, result.end, result.reason, sent_at);
                 if (result.end != TryEnd::answered && answer.head_sent)
-                    answer.keep = false;  // truncation stays visible
+                    answer.keep = false;  // closing shows the client that the answer is truncated
                 if (result.end != TryEnd::answered)
                     write_log(
                         Level::debug, "try-ended",
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -70,6 +70,7 @@
     std::array<Partition, partition_count> partitions;
     std::array<PartitionView, partition_count> views;
     std::array<PartitionWatch, partition_count> watches;
+    // Another node's update request that is answered at the next change or at the hold limit (long polling).
     struct HeldRequest {
         std::string address;
         UpdateRequest ask;
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -59,7 +59,7 @@
     auto take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum>;
     // Takes the sum of another relay.
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
-    // The sum to send to other relays now; nothing while no node reports here.
+    // The sum to send to other relays, if it is due; nothing while no node reports here.
     auto tick(Microseconds now) -> std::optional<LoadShare>;
     auto rate_of(std::string const& node, Microseconds now) const -> double;  // requests placed in the last second
 
--- a/source/control/version_history.hpp
+++ b/source/control/version_history.hpp
@@ -8,7 +8,7 @@
 namespace dockrock {
 
 struct VersionHistory {
-    static constexpr Microseconds ask_for = 5 * one_second;  // after learning of a new version
+    static constexpr Microseconds ask_for = 5 * one_second;  // other nodes are asked for so long after a new version
     static constexpr Microseconds ask_interval = one_second;
     static constexpr Microseconds longest_age = 3'600 * one_second;  // higher ages are capped
     std::map<std::string, VersionTimes> by_model;
--- a/source/control/weights_controller.hpp
+++ b/source/control/weights_controller.hpp
@@ -31,7 +31,7 @@
     std::vector<std::pair<int, std::string>> live_texts;     // partition, and its new live text
     std::vector<std::pair<std::string, RolloutNote>> notes;  // by model
     std::vector<std::pair<int, OrdersHeld>> held;            // by partition, if it changed
-    bool under_way = false;
+    bool under_way = false;  // a replica led by this node is behind or has an order in progress
 };
 
 struct WeightsController {
@@ -41,9 +41,10 @@
     std::array<TakeoverWait, partition_count> takeover_waits;
     std::map<std::pair<int, std::string>, VersionsRollout> rollouts;  // by partition and model
 
-    std::map<std::string, VersionTimes> version_times;  // by model, since the start of the process, as leader or not
+    // By model, by the clock of this process; updated whether or not this node leads.
+    std::map<std::string, VersionTimes> version_times;
 
-    // The orders and report requests that are due now at the partitions that this node leads.
+    // The orders, report requests and live texts that are due now at the partitions that this node leads.
     auto step(Control const& control, Snapshot const& snapshot, Microseconds now) -> ControllerActions;
     auto order_ended(AddressedOrder const& order, OrderResult end, Microseconds now) -> void;
     auto reported(
