--- a/source/connection/relay_try.hpp
+++ b/source/connection/relay_try.hpp
@@ -18,8 +18,8 @@
     std::optional<ReplicaExchange> exchange = {};
     TryFacts facts = {};
     std::string reason = {};
-    Microseconds deadline = 0;
-    Microseconds begin_by = WorkLimits::none;  // latest time for the replica's first output
+    Microseconds deadline = 0;                 // of the request itself
+    Microseconds begin_by = WorkLimits::none;  // latest time for the replica's first output (WorkLimits)
     bool output_seen = false;
 
     auto connect() -> awaitable<bool>;
