--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -170,12 +170,12 @@
     auto on(Arrival const& arrival, UpdateRequest const& ask) -> void;
     auto on(Arrival const& arrival, UpdateAnswer const& answer) -> void;
     auto on(Arrival const& arrival, LoadDigest const& digest) -> void;
-    auto on(Arrival const& arrival, LoadReport const& told) -> void;
+    auto on(Arrival const& arrival, LoadReport const& report) -> void;
     auto on(Arrival const& arrival, LoadShare const& share) -> void;
     auto on(Arrival const& arrival, LoadSum const& sum) -> void;
     auto on(Arrival const& arrival, FeedAsk const& ask) -> void;
     auto on(Arrival const& arrival, FeedAnswer const& answer) -> void;
-    auto on(Arrival const& arrival, VersionAges const& told) -> void;
+    auto on(Arrival const& arrival, VersionAges const& ages) -> void;
     auto on(Arrival const& arrival, CallForward const& forward) -> void;
     auto on(Arrival const& arrival, CallAnswer const& answer) -> void;
     auto on(Arrival const& arrival, ClaimAsk const& ask) -> void;
@@ -206,7 +206,7 @@
         -> void;
     auto learn_version_times(int partition, Microseconds now) -> void;
     auto request_version_ages(Microseconds now, ControlOutput& output) -> void;
-    auto take_version_ages(Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output)
+    auto take_version_ages(Microseconds now, std::string const& address, VersionAges const& ages, ControlOutput& output)
         -> void;
     auto relays_updates(int partition, Microseconds now) const -> bool;
     auto hold_limit(int partition) const -> Microseconds {
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -54,9 +54,9 @@
     arrival.output.digests.emplace_back(arrival.from, digest);
 }
 
-auto Control::on(Arrival const& arrival, LoadReport const& told) -> void {
+auto Control::on(Arrival const& arrival, LoadReport const& report) -> void {
     if (!settings.core) return;
-    auto sum = load_relay.take(arrival.from, told, arrival.now);
+    auto sum = load_relay.take(arrival.from, report, arrival.now);
     if (sum) arrival.output.sends.push_back({arrival.address, std::move(*sum)});
 }
 
@@ -77,8 +77,8 @@
     take_feed(arrival.now, arrival.from, answer, arrival.output);
 }
 
-auto Control::on(Arrival const& arrival, VersionAges const& told) -> void {
-    take_version_ages(arrival.now, arrival.address, told, arrival.output);
+auto Control::on(Arrival const& arrival, VersionAges const& ages) -> void {
+    take_version_ages(arrival.now, arrival.address, ages, arrival.output);
 }
 
 auto Control::on(Arrival const& arrival, CallForward const& forward) -> void {
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -28,10 +28,10 @@
     auto const cores = membership.alive_members(true);
     auto const* relay = load_choice.choose(membership.self, cores, now);
     if (relay == nullptr) return output;
-    auto told = LoadReport{number, held_of == relay->identity ? held : 0, std::move(body)};
+    auto report = LoadReport{number, held_of == relay->identity ? held : 0, std::move(body)};
     if (relay->identity != membership.self.identity) {
-        output.sends.push_back({relay->control_address, std::move(told)});
-    } else if (auto sum = load_relay.take(relay->identity, told, now)) {
+        output.sends.push_back({relay->control_address, std::move(report)});
+    } else if (auto sum = load_relay.take(relay->identity, report, now)) {
         load_choice.heard(relay->identity, now);
         output.load_sums.emplace_back(relay->identity, std::move(*sum));
     }
--- a/source/control/control_version_ages.cpp
+++ b/source/control/control_version_ages.cpp
@@ -22,9 +22,9 @@
 }
 
 auto Control::take_version_ages(
-    Microseconds now, std::string const& address, VersionAges const& told, ControlOutput& output) -> void {
-    if (version_history.take(told.named, now)) output.snapshot_changed = true;
-    if (told.asks) output.sends.push_back({address, VersionAges{false, version_history.ages(now)}});
+    Microseconds now, std::string const& address, VersionAges const& ages, ControlOutput& output) -> void {
+    if (version_history.take(ages.named, now)) output.snapshot_changed = true;
+    if (ages.asks) output.sends.push_back({address, VersionAges{false, version_history.ages(now)}});
 }
 
 }  // namespace dockrock
--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -80,24 +80,25 @@
     if (sums.size() > sums_kept) sums.pop_front();
 }
 
-auto LoadRelay::take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum> {
+auto LoadRelay::take(std::string const& node, LoadReport const& report, Microseconds now) -> std::optional<LoadSum> {
     if (ignoring(now)) return std::nullopt;
-    auto loads = read_loads(told.body);
+    auto loads = read_loads(report.body);
     auto& child = children[node];
     // A lower number is a late report, or the first one of a restarted node.
     auto const fresh = child.at == 0 || now - child.at > times.old;
-    if (!loads || (told.number <= child.number && !fresh)) return std::nullopt;
-    child.number = told.number;
+    if (!loads || (report.number <= child.number && !fresh)) return std::nullopt;
+    child.number = report.number;
     child.at = now;
     child.loads = std::move(*loads);
     if (fresh || sums.empty() || now - summed_at >= times.interval) sum_up(now);
     auto const& newest = sums.back();
     auto answer = LoadSum{newest.number, 0, child.summed, milliseconds(summed_at - child.summed_at), newest.nodes, {}};
-    auto const held = std::find_if(sums.begin(), sums.end(), [&](auto const& sum) { return sum.number == told.heard; });
+    auto const held =
+        std::find_if(sums.begin(), sums.end(), [&](auto const& sum) { return sum.number == report.heard; });
     if (held != sums.end()) {
-        auto& body = differences[told.heard];
+        auto& body = differences[report.heard];
         if (body.empty()) body = write_loads_difference(held->loads, newest.loads);
-        answer.base = told.heard;
+        answer.base = report.heard;
         answer.body = body;
     } else {
         if (whole.empty()) whole = write_loads(newest.loads);
@@ -137,18 +138,18 @@
     drop_stale(now);
     if (children.empty()) return std::nullopt;
     shared_at = now;
-    LoadShare told;
-    told.number = static_cast<std::uint64_t>(now);
-    told.body = write_loads(own_sum(now));
+    LoadShare share;
+    share.number = static_cast<std::uint64_t>(now);
+    share.body = write_loads(own_sum(now));
     for (auto const& [node, child] : children)
-        if (!child.loads.empty()) ++told.nodes;
-    if (now - named_at < times.names_interval) return told;
+        if (!child.loads.empty()) ++share.nodes;
+    if (now - named_at < times.names_interval) return share;
     named_at = now;
     for (auto const& [node, child] : children) {
-        told.names.push_back(node);
-        told.rates.push_back(now - child.at <= 3 * times.old / 2 ? child.rate() : 0);
+        share.names.push_back(node);
+        share.rates.push_back(now - child.at <= 3 * times.old / 2 ? child.rate() : 0);
     }
-    return told;
+    return share;
 }
 
 auto LoadRelay::rate_of(std::string const& node, Microseconds now) const -> double {
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -56,7 +56,7 @@
     Microseconds ignore_until = 0;
 
     // Takes the report of a node; returns the newest sum as answer, nothing if the report is invalid or outdated.
-    auto take(std::string const& node, LoadReport const& told, Microseconds now) -> std::optional<LoadSum>;
+    auto take(std::string const& node, LoadReport const& report, Microseconds now) -> std::optional<LoadSum>;
     // Takes the sum of another relay.
     auto take(std::string const& relay, LoadShare const& told, Microseconds now) -> void;
     // The sum to send to other relays, if it is due; nothing while no node reports here.
