--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -234,7 +234,7 @@
     auto begin_leaving(ControlOutput& output) -> void;
     auto has_duties() const -> bool;
     auto held_partitions() const -> std::vector<HeldPartition>;
-    auto take_recovery(std::vector<HeldPartition> const& told) -> void;
+    auto take_recovery(std::vector<HeldPartition> const& received) -> void;
     auto send_recovery(Microseconds now, ControlOutput& output) -> void;
     auto tick_recovery(Microseconds now, ControlOutput& output) -> void;
     auto end_recovery(int status, std::string_view what, ControlOutput& output) -> void;
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -17,8 +17,8 @@
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const& record = best_record(static_cast<int>(index));
         auto const& own = partitions[index].copy;
-        auto const& told = views[index].copy;
-        auto const& newest = own.sequence > told.sequence ? own : told;
+        auto const& published = views[index].copy;
+        auto const& newest = own.sequence > published.sequence ? own : published;
         auto const voters = record.leader.empty() ? std::vector<std::string>() : record.voters;
         held.push_back({record.term, voters, newest.sequence, newest.document});
     }
@@ -56,16 +56,16 @@
     return output;
 }
 
-auto Control::take_recovery(std::vector<HeldPartition> const& told) -> void {
-    for (auto index = std::size_t{0}; index < std::min(told.size(), recovery->best.size()); ++index) {
+auto Control::take_recovery(std::vector<HeldPartition> const& received) -> void {
+    for (auto index = std::size_t{0}; index < std::min(received.size(), recovery->best.size()); ++index) {
         auto& best = recovery->best[index];
-        if (told[index].term > best.term) {
-            best.term = told[index].term;
-            if (!told[index].voters.empty()) best.voters = told[index].voters;
+        if (received[index].term > best.term) {
+            best.term = received[index].term;
+            if (!received[index].voters.empty()) best.voters = received[index].voters;
         }
-        if (told[index].sequence > best.sequence) {
-            best.sequence = told[index].sequence;
-            best.document = told[index].document;
+        if (received[index].sequence > best.sequence) {
+            best.sequence = received[index].sequence;
+            best.document = received[index].document;
         }
     }
 }
