--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -49,11 +49,12 @@
 }
 
 auto shared_update(PartitionView& item, UpdateRequest const& ask) -> DocumentUpdate {
-    auto const& told = item.told;
-    if (!ask.whole && told && told->first == ask.have && told->second.sequence == item.copy.sequence)
-        return told->second;
+    auto const& last_difference = item.last_difference;
+    if (!ask.whole && last_difference && last_difference->first == ask.have &&
+        last_difference->second.sequence == item.copy.sequence)
+        return last_difference->second;
     auto made = make_update(item, ask);
-    if (!made.whole) item.told = {ask.have, made};
+    if (!made.whole) item.last_difference = {ask.have, made};
     return made;
 }
 
--- a/source/control/partition_view.hpp
+++ b/source/control/partition_view.hpp
@@ -63,10 +63,10 @@
 // What a node knows of a partition (design 8).
 struct PartitionView {
     Record record;
-    Copy copy;                                                // without outcomes, except at the leader
-    std::deque<std::pair<Sequence, std::string>> past;        // earlier documents, as bases for differences
-    std::optional<std::pair<Sequence, DocumentUpdate>> told;  // the last difference sent, with its base
-    bool whole_wanted = false;                                // a difference could not be applied
+    Copy copy;                                                           // without outcomes, except at the leader
+    std::deque<std::pair<Sequence, std::string>> past;                   // earlier documents, as bases for differences
+    std::optional<std::pair<Sequence, DocumentUpdate>> last_difference;  // the last difference sent, with its base
+    bool whole_wanted = false;                                           // a difference could not be applied
     Microseconds proven_at = -3'600 * one_second;
     std::string live;  // the replica list, or the weights states published by the partition's leader
     std::uint64_t live_digest = 0;
--- a/source/control/partition_watch.cpp
+++ b/source/control/partition_watch.cpp
@@ -31,8 +31,9 @@
     if (!leased || compared_term == partition.votes.decided.term) return true;
     compared_term = partition.votes.decided.term;
     if (partition.committed->sequence != in_force) return true;
-    auto const told = digest_of(partition.committed->document);
-    return invariants::check(invariants::InForceFacts{in_force, partition.committed->sequence, digest, told});
+    auto const committed_digest = digest_of(partition.committed->document);
+    return invariants::check(
+        invariants::InForceFacts{in_force, partition.committed->sequence, digest, committed_digest});
 }
 
 }  // namespace dockrock
