--- a/source/control/control_cache.cpp
+++ b/source/control/control_cache.cpp
@@ -46,7 +46,7 @@
 
 auto Control::take_feed(Microseconds now, std::string const& from, FeedAnswer const& answer, ControlOutput& output)
     -> void {
-    load_choice.heard(from, now);
+    load_choice.record_answer(from, now);
     for (auto& taken : cache_feed.take(from, answer)) {
         if (settings.core) cache_feed.add(std::move(taken.batch), false);
         else output.cache_batches.push_back(std::move(taken));
--- a/source/control/control_deliver.cpp
+++ b/source/control/control_deliver.cpp
@@ -46,7 +46,7 @@
 
 auto Control::on(Arrival const& arrival, UpdateAnswer const& answer) -> void {
     if (!is_partition(answer.partition)) return;
-    load_choice.heard(arrival.from, arrival.now);
+    load_choice.record_answer(arrival.from, arrival.now);
     take_update(arrival.now, answer, arrival.output);
 }
 
@@ -65,7 +65,7 @@
 }
 
 auto Control::on(Arrival const& arrival, LoadSum const& sum) -> void {
-    load_choice.heard(arrival.from, arrival.now);
+    load_choice.record_answer(arrival.from, arrival.now);
     arrival.output.load_sums.emplace_back(arrival.from, sum);
 }
 
--- a/source/control/control_load.cpp
+++ b/source/control/control_load.cpp
@@ -32,7 +32,7 @@
     if (relay->identity != membership.self.identity) {
         output.sends.push_back({relay->control_address, std::move(report)});
     } else if (auto sum = load_relay.take(relay->identity, report, now)) {
-        load_choice.heard(relay->identity, now);
+        load_choice.record_answer(relay->identity, now);
         output.load_sums.emplace_back(relay->identity, std::move(*sum));
     }
     return output;
--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -165,7 +165,7 @@
 auto LoadRelayChoice::choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const* {
     std::erase_if(avoided, [&](auto const& item) { return item.second <= now; });
     // Several reports were sent over some time without an answer.
-    if (!relay.empty() && told_at - std::max(since, heard_at) > times.silence) {
+    if (!relay.empty() && reported_at - std::max(since, answered_at) > times.silence) {
         avoided[relay] = now + times.avoid;
         relay.clear();
     }
@@ -180,14 +180,14 @@
         best_rank = rank;
     }
     if (best == nullptr) return relay.clear(), nullptr;
-    if (best->identity != relay || now - told_at > times.silence) since = now;
+    if (best->identity != relay || now - reported_at > times.silence) since = now;
     relay = best->identity;
-    told_at = now;
+    reported_at = now;
     return best;
 }
 
-auto LoadRelayChoice::heard(std::string const& from, Microseconds now) -> void {
-    if (from == relay) heard_at = now;
+auto LoadRelayChoice::record_answer(std::string const& from, Microseconds now) -> void {
+    if (from == relay) answered_at = now;
 }
 
 }  // namespace dockrock
--- a/source/control/load_relay.hpp
+++ b/source/control/load_relay.hpp
@@ -76,14 +76,14 @@
     LoadTimes times;
     std::string relay;  // identity
     Microseconds since = 0;
-    Microseconds told_at = 0;
-    Microseconds heard_at = 0;
+    Microseconds reported_at = 0;
+    Microseconds answered_at = 0;
     std::map<std::string, Microseconds> avoided;  // by relay: until when it is not used
     bool relayed = false;                         // load reports go through relays now
 
     // Null if there is no core node.
     auto choose(Member const& self, std::vector<Member> const& cores, Microseconds now) -> Member const*;
-    auto heard(std::string const& from, Microseconds now) -> void;
+    auto record_answer(std::string const& from, Microseconds now) -> void;
 };
 
 }  // namespace dockrock
--- a/tests/load_net.hpp
+++ b/tests/load_net.hpp
@@ -76,7 +76,7 @@
                 auto const answer = relay.relay.take(nodes[index].self.identity, told, now);
                 if (!answer) return;
                 send([this, index, from = relay.self.identity, sum = *answer] {
-                    nodes[index].choice.heard(from, now);
+                    nodes[index].choice.record_answer(from, now);
                     nodes[index].table.take_sum(
                         from, {sum.number, sum.base, sum.echo, sum.echo_age, sum.nodes, sum.body}, now);
                 });
