--- a/source/control/replica_weights.hpp
+++ b/source/control/replica_weights.hpp
@@ -15,12 +15,12 @@
 
 // Overrides the listed state with the state published by the leader, unless a listed
 // version is higher, which shows that the published state is outdated.
-inline auto apply_weights_state(ReplicaWeights& listed, ReplicaWeights const& word) -> void {
-    for (auto const& [model, version] : word.versions)
+inline auto apply_weights_state(ReplicaWeights& listed, ReplicaWeights const& published) -> void {
+    for (auto const& [model, version] : published.versions)
         if (auto const found = listed.versions.find(model); found != listed.versions.end() && found->second > version)
             return;
-    for (auto const& [model, version] : word.versions) listed.versions[model] = version;
-    listed.loading = listed.loading || word.loading;
+    for (auto const& [model, version] : published.versions) listed.versions[model] = version;
+    listed.loading = listed.loading || published.loading;
 }
 
 }  // namespace dockrock
