--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -82,8 +82,8 @@
     auto const request = make_request(posted, placement.address);
     // From here on the replica may have received the request: after a failure it is unknown whether it ran
     // (design 10.2).
-    auto const patience = std::max<Microseconds>(inference.deadline - clock_now(), one_second) + 2 * one_second;
-    stream.expires_after(std::chrono::microseconds(patience));
+    auto const answer_limit = std::max<Microseconds>(inference.deadline - clock_now(), one_second) + 2 * one_second;
+    stream.expires_after(std::chrono::microseconds(answer_limit));
     auto const [unsent, written] = co_await http::async_write(stream, request, use_tuple);
     facts.written = written == 0 ? BytesWritten::none : unsent ? BytesWritten::head : BytesWritten::whole;
     if (unsent) co_return ended(facts, "replica-broke-while-sending");
--- a/source/control/control_form.cpp
+++ b/source/control/control_form.cpp
@@ -6,8 +6,8 @@
 namespace dockrock {
 
 namespace {
-constexpr Microseconds calm_limit = 1'200 * one_millisecond;  // the set of core nodes must be unchanged for so long
-constexpr Microseconds seed_patience = 3 * one_second;        // added while a seed has not been seen
+constexpr Microseconds stable_cores_wait = 1'200 * one_millisecond;  // the set of core nodes is unchanged for so long
+constexpr Microseconds unseen_seed_wait = 3 * one_second;            // added while a seed has not been seen
 constexpr Microseconds forming_interval = 700 * one_millisecond;
 constexpr auto forming_jitter = std::uint64_t{400'000};  // microseconds
 
@@ -88,7 +88,7 @@
     for (auto const& [identity, entry] : membership.known) heard.insert(entry.member.control_address);
     auto const all_heard = std::all_of(
         membership.seeds.begin(), membership.seeds.end(), [&](auto const& seed) { return heard.contains(seed); });
-    return now - cores_since >= calm_limit + (all_heard ? 0 : seed_patience);
+    return now - cores_since >= stable_cores_wait + (all_heard ? 0 : unseen_seed_wait);
 }
 
 // First formation (design 5.7): only among core nodes without state, and only if
