--- a/source/control/load_relay.cpp
+++ b/source/control/load_relay.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr auto sums_kept = std::size_t{8};
+constexpr auto max_past_sums = std::size_t{8};
 
 auto milliseconds(Microseconds length) -> std::int64_t { return length / one_millisecond; }
 
@@ -77,7 +77,7 @@
     differences.clear();
     whole.clear();
     sums.push_back(std::move(sum));
-    if (sums.size() > sums_kept) sums.pop_front();
+    if (sums.size() > max_past_sums) sums.pop_front();
 }
 
 auto LoadRelay::take(std::string const& node, LoadReport const& report, Microseconds now) -> std::optional<LoadSum> {
--- a/source/control/partition_view.cpp
+++ b/source/control/partition_view.cpp
@@ -5,8 +5,8 @@
 namespace dockrock {
 
 namespace {
-constexpr auto past_kept = std::size_t{8};
-constexpr auto asks_kept = std::size_t{8};
+constexpr auto max_past_documents = std::size_t{8};
+constexpr auto max_past_requests = std::size_t{8};
 constexpr auto least_saved = std::size_t{64};  // bytes a difference must save to be sent instead of the whole document
 constexpr auto past_bytes = std::size_t{4} << 20U;
 }  // namespace
@@ -16,7 +16,7 @@
 auto retire_request(PartitionView& item, bool answered) -> void {
     if (item.ask_token == 0) return;
     item.past_requests.push_back({item.ask_token, item.asked_whom, item.asked_at, answered});
-    if (item.past_requests.size() > asks_kept) item.past_requests.pop_front();
+    if (item.past_requests.size() > max_past_requests) item.past_requests.pop_front();
     item.ask_token = 0;
 }
 
@@ -34,7 +34,8 @@
         for (auto const& [sequence, document] : item.past) sum += document.size();
         return sum;
     };
-    while (item.past.size() > past_kept || (item.past.size() > 1 && bytes() > past_bytes)) item.past.pop_front();
+    while (item.past.size() > max_past_documents || (item.past.size() > 1 && bytes() > past_bytes))
+        item.past.pop_front();
 }
 
 auto make_update(PartitionView const& item, UpdateRequest const& ask) -> DocumentUpdate {
