--- a/programs/dockrock_control.cpp
+++ b/programs/dockrock_control.cpp
@@ -31,13 +31,13 @@
                 continue;
             }
             auto& keys = item.value().as_array();
-            auto kept = json::array();
+            auto remaining = json::array();
             for (auto& key : keys) {
                 auto const* name = key.is_object() ? key.as_object().if_contains("identity") : nullptr;
                 if (name != nullptr && name->is_string() && name->as_string() == identity) ++removed;
-                else kept.push_back(key);
+                else remaining.push_back(key);
             }
-            keys = std::move(kept);
+            keys = std::move(remaining);
         }
     }
     return removed;
--- a/source/control/cache_feed.cpp
+++ b/source/control/cache_feed.cpp
@@ -57,13 +57,13 @@
 // each part is the same either way.
 auto CacheFeed::advance_cursor(CacheBatch const& batch) -> BatchPosition {
     auto& cursor = cursors[batch.source];
-    auto const same_life = cursor.life == batch.life;
-    if (same_life && batch.next <= cursor.next) return BatchPosition::known;
-    auto const known_to = same_life ? cursor.next : 0;
+    auto const same_instance = cursor.life == batch.life;
+    if (same_instance && batch.next <= cursor.next) return BatchPosition::known;
+    auto const known_to = same_instance ? cursor.next : 0;
     auto const first = cursor.life.empty();
     cursor = {batch.life, batch.next};
     if (batch.from > known_to) return BatchPosition::gap;
-    return same_life || first ? BatchPosition::follows : BatchPosition::gap;
+    return same_instance || first ? BatchPosition::follows : BatchPosition::gap;
 }
 
 auto CacheFeed::add(CacheBatch batch, bool own) -> void {
--- a/source/control/load.cpp
+++ b/source/control/load.cpp
@@ -204,7 +204,7 @@
 
 auto apply_loads_difference(Loads const& base, std::string_view text) -> std::optional<Loads> {
     auto reader = Reader{text};
-    auto kept = std::vector<bool>(base.size(), true);
+    auto remaining = std::vector<bool>(base.size(), true);
     auto made = base;
     auto const place_after = [&](std::size_t& next) {
         next += static_cast<std::size_t>(reader.take());
@@ -215,7 +215,7 @@
     auto next = std::size_t{0};
     for (auto count = reader.take_count(); count > 0 && !reader.bad; --count) {
         auto const place = place_after(next);
-        if (!reader.bad) kept[place] = false;
+        if (!reader.bad) remaining[place] = false;
     }
     next = 0;
     for (auto count = reader.take_count(); count > 0 && !reader.bad; --count) {
@@ -232,7 +232,7 @@
     Loads left;
     left.reserve(made.size());
     for (auto place = std::size_t{0}; place < made.size(); ++place)
-        if (kept[place]) left.push_back(std::move(made[place]));
+        if (remaining[place]) left.push_back(std::move(made[place]));
     for (auto const& item : added)
         if (find_load(left, item.name) != nullptr) return std::nullopt;
     return add_loads(left, added);
