--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -66,9 +66,9 @@
 }
 
 // Handles one request; the memory reserved in `room` is held until the response has been written.
-using Answerer = std::function<awaitable<HttpResponse>(Node&, HttpRequest const&, MemoryReservation& room)>;
+using RequestHandler = std::function<awaitable<HttpResponse>(Node&, HttpRequest const&, MemoryReservation& room)>;
 
-auto serve_calls(Node& node, tcp::socket socket, Answerer answerer) -> awaitable<void> {
+auto serve_calls(Node& node, tcp::socket socket, RequestHandler request_handler) -> awaitable<void> {
     auto stream = beast::tcp_stream(std::move(socket));
     enable_keepalive_probes(stream.socket());
     auto buffer = beast::flat_buffer();
@@ -92,7 +92,7 @@
         release_buffer(buffer, parser);
         auto const request = parser.release();
         auto answer_room = MemoryReservation(node.message_memory);
-        auto const response = co_await answerer(node, request, answer_room);
+        auto const response = co_await request_handler(node, request, answer_room);
         stream.expires_after(std::chrono::seconds(10));
         if (auto const [failure, size] = co_await http::async_write(stream, response, use_tuple); failure) co_return;
         if (!response.keep_alive()) co_return;
@@ -119,9 +119,9 @@
 }
 
 // At the connection limit, clients wait in the listen backlog. Readiness probes and operators are always accepted.
-auto Node::relay_accept(tcp::acceptor& from, RelayListener door) -> awaitable<void> {
+auto Node::relay_accept(tcp::acceptor& from, RelayListener listener) -> awaitable<void> {
     while (!finished) {
-        if (door == RelayListener::front && !has_room_for_client()) {
+        if (listener == RelayListener::front && !has_room_for_client()) {
             co_await pause(accept_pause);
             continue;
         }
@@ -137,8 +137,9 @@
             co_await session.serve();
         };
         auto const executor = context.get_executor();
-        if (door == RelayListener::ready) spawn_connection(counters, executor, serve_ready(*this, std::move(socket)));
-        else if (door == RelayListener::operators)
+        if (listener == RelayListener::ready)
+            spawn_connection(counters, executor, serve_ready(*this, std::move(socket)));
+        else if (listener == RelayListener::operators)
             spawn_connection(counters, executor, serve_operator(*this, std::move(socket)));
         else spawn_connection(counters, executor, serve(*this, std::move(socket)));
     }
--- a/source/control/load.cpp
+++ b/source/control/load.cpp
@@ -10,7 +10,7 @@
 // Numbers are encoded in base-32 digits, least significant first, with letters that JSON does not escape.
 // Letters 32 to 63 mean that another digit follows.
 constexpr auto letters = std::string_view("0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_");
-constexpr auto greatest = std::int64_t{1} << 40U;  // sums of such values can't overflow
+constexpr auto max_amount = std::int64_t{1} << 40U;  // sums of such values can't overflow
 
 auto put(std::string& into, std::int64_t number) -> void {
     auto rest = static_cast<std::uint64_t>(std::max<std::int64_t>(0, number));
@@ -49,7 +49,7 @@
         text.remove_prefix(size);
         return name;
     }
-    auto take_amount() -> std::int64_t { return std::min(take(), greatest); }
+    auto take_amount() -> std::int64_t { return std::min(take(), max_amount); }
     auto take_load() -> Load {
         Load load;
         load.count = take_amount();
