--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -73,9 +73,9 @@
     boost::system::error_code ignored;
     stream.socket().set_option(tcp::no_delay(true), ignored);
     facts.written = BytesWritten::none;
-    if (auto const look = node.check_before_send(lifecycle); look != SendCheck::send) {
+    if (auto const send_check = node.check_before_send(lifecycle); send_check != SendCheck::send) {
         auto result = ended(facts, "moved-on");
-        result.held_back = look == SendCheck::moved_on;
+        result.held_back = send_check == SendCheck::moved_on;
         co_return result;
     }
     auto const posted = make_http_call(http::verb::post, "/run", run_body(inference, placement));
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -73,8 +73,8 @@
         case ReplicaExchange::HeadEnd::broke: reason = "replica-broke-before-its-answer"; break;
     }
     auto const now = clock_now();
-    auto const at_once = end == ReplicaExchange::HeadEnd::broke && now - began < stale_reset_window;
-    if (at_once && facts.connection == ConnectionUse::reused && !client_left())
+    auto const immediate = end == ReplicaExchange::HeadEnd::broke && now - began < stale_reset_window;
+    if (immediate && facts.connection == ConnectionUse::reused && !client_left())
         node.pool.record_stale_connection(connection->idle_before_reuse, now);
     co_return false;
 }
@@ -117,10 +117,10 @@
     auto attempt = RelayTry{*this, request, *judged.route, lifecycle, answer, node};
     if (!co_await attempt.connect()) co_return attempt.result();
     attempt.close_when_client_leaves();
-    if (auto const look = node.check_before_send(lifecycle); look != SendCheck::send) {
+    if (auto const send_check = node.check_before_send(lifecycle); send_check != SendCheck::send) {
         attempt.reason = "moved-on";
         auto result = attempt.result();
-        result.held_back = look == SendCheck::moved_on && result.end == TryEnd::not_written;
+        result.held_back = send_check == SendCheck::moved_on && result.end == TryEnd::not_written;
         co_return result;
     }
     auto const now = clock_now();
