--- a/source/control/list_polling.cpp
+++ b/source/control/list_polling.cpp
@@ -40,18 +40,18 @@
     return now >= *read_at && now >= not_before;
 }
 
-auto ListPolling::began(Microseconds now) -> void {
+auto ListPolling::record_start(Microseconds now) -> void {
     began_at = now;
     read_at.reset();
 }
 
-auto ListPolling::good(std::size_t read_pages) -> void {
+auto ListPolling::record_success(std::size_t read_pages) -> void {
     pages = std::max<std::size_t>(1, read_pages);
     backoff = 0;
 }
 
 // Exponential backoff with jitter, so that nodes don't retry in step.
-auto ListPolling::failed(ListView const& view, Microseconds now, Random& random) -> void {
+auto ListPolling::record_failure(ListView const& view, Microseconds now, Random& random) -> void {
     auto const most = view.leader ? longest_backoff : std::max(longest_backoff, spread_window(view.members));
     backoff = std::min(most, backoff == 0 ? first_backoff : 2 * backoff);
     not_before = now + backoff / 2 + static_cast<Microseconds>(random.below(static_cast<std::uint64_t>(backoff / 2)));
--- a/source/control/list_polling.hpp
+++ b/source/control/list_polling.hpp
@@ -32,9 +32,9 @@
 
     auto configure(Microseconds drain, std::int64_t calls) -> void;
     auto due(ListView const& view, Microseconds now, Random& random) -> bool;
-    auto began(Microseconds now) -> void;
-    auto good(std::size_t read_pages) -> void;
-    auto failed(ListView const& view, Microseconds now, Random& random) -> void;
+    auto record_start(Microseconds now) -> void;
+    auto record_success(std::size_t read_pages) -> void;
+    auto record_failure(ListView const& view, Microseconds now, Random& random) -> void;
     // Minimum time between two calls of one node.
     auto call_gap() const -> Microseconds { return one_second * 5 / (4 * calls_each_second); }
     auto spread_window(std::size_t members) const -> Microseconds;
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -73,7 +73,7 @@
             in_control([this, wanted, view] {
                 auto const now = clock_now();
                 if (!list_polling.due(view(now), now, control.random)) return;
-                list_polling.began(now);
+                list_polling.record_start(now);
                 *wanted = true;
             });
             if (!wanted->load()) continue;
@@ -86,8 +86,8 @@
         in_control([this, wanted, done, view, asked_at, reading = std::move(reading)] {
             auto const now = clock_now();
             *wanted = false;
-            if (reading) list_polling.good(reading->pages);
-            else list_polling.failed(view(now), now, control.random);
+            if (reading) list_polling.record_success(reading->pages);
+            else list_polling.record_failure(view(now), now, control.random);
             if (reading) apply_output(control.list_read(now, asked_at, reading->text));
             *done = true;
         });
--- a/tests/hollow/fleet.cpp
+++ b/tests/hollow/fleet.cpp
@@ -189,11 +189,11 @@
 }
 
 auto HollowFleet::read_list(HollowNode& node) -> void {
-    node.list_polling.began(now);
+    node.list_polling.record_start(now);
     ++platform_calls;
     at(now + platform_answer, [this, &node, life = node.life, asked = now, text = list_text] {
         if (!node.running || node.life != life) return;
-        node.list_polling.good(1);
+        node.list_polling.record_success(1);
         act(node, [&] { return node.control.list_read(now, asked, text); });
     });
 }
--- a/tests/weights_duty_test.cpp
+++ b/tests/weights_duty_test.cpp
@@ -92,8 +92,8 @@
         for (auto index = std::size_t{0}; index < paces.size(); ++index) {
             view.leader = index == 0;
             if (!paces[index].due(view, now, random)) continue;
-            paces[index].began(now);
-            paces[index].failed(view, now, random);
+            paces[index].record_start(now);
+            paces[index].record_failure(view, now, random);
             calls.push_back(now);
         }
     auto most = std::size_t{0};
@@ -119,8 +119,8 @@
     CHECK_FALSE(pace.due(view, now, random));
     view.leader = true;
     CHECK(pace.due(view, now, random));
-    pace.began(now);
-    pace.good(1);
+    pace.record_start(now);
+    pace.record_success(1);
     CHECK_FALSE(pace.due(view, now + 800 * one_millisecond, random));
     CHECK(pace.due(view, now + 900 * one_millisecond, random));
 }
