--- a/source/connection/relay_control.cpp
+++ b/source/connection/relay_control.cpp
@@ -32,28 +32,28 @@
 auto error_text(char const* what) -> std::string { return json::serialize(fields("error", what)); }
 
 auto operator_answer(Node& node, HttpRequest const& request, MemoryReservation& room) -> awaitable<HttpResponse> {
-    auto const& form = *node.form;
+    auto const& protocol = *node.protocol;
     auto const target = text(request.target().substr(0, request.target().find('?')));
     auto const method = request.method();
     Call call;
-    if (target == form.configuration_path && method == http::verb::get) {
+    if (target == protocol.configuration_path && method == http::verb::get) {
         call.partition = configuration_partition;
         call.operation = "get";
-    } else if (target == form.configuration_path && (method == http::verb::put || method == http::verb::patch)) {
+    } else if (target == protocol.configuration_path && (method == http::verb::put || method == http::verb::patch)) {
         call.partition = configuration_partition;
         call.operation = method == http::verb::put ? "put" : "patch";
         call.base = text(request[http::field::if_match]);
         call.body = request.body();
         call.identity = change_identity(call.operation, call.base, call.body);
-    } else if (target == form.weights_path && method == http::verb::post) {
-        auto const named = form.read_weights_named(request.body());
+    } else if (target == protocol.weights_path && method == http::verb::post) {
+        auto const named = protocol.read_weights_named(request.body());
         if (!named) co_return response_of(request, 400, error_text("not a model and a version"));
         call.partition = partition_of_service(named->model);
         call.operation = "weights";
         call.body = json::serialize(fields(named->model.c_str(), named->version));
         call.identity = change_identity(call.operation, "", call.body);
     } else {
-        auto const known = target == form.configuration_path || target == form.weights_path;
+        auto const known = target == protocol.configuration_path || target == protocol.weights_path;
         co_return response_of(
             request, known ? 405 : 404, error_text(known ? "this path does not take that method" : "no such path"));
     }
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -78,9 +78,9 @@
 auto keeps_connection(HttpRequest const& request) -> bool { return request.keep_alive(); }
 
 auto head_for_replica(
-    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& lifecycle,
-    std::int64_t last_event, Microseconds time_left) -> std::string {
-    auto const& names = form.headers;
+    WireProtocol const& protocol, HttpRequest const& request, RelayVerdict const& judged,
+    RequestLifecycle const& lifecycle, std::int64_t last_event, Microseconds time_left) -> std::string {
+    auto const& names = protocol.headers;
     auto const router_fields = std::to_array<std::string_view>(
         {names.key, names.tenant, names.deadline, names.replica_wanted, names.weights_wanted, names.salt, names.urgency,
          names.fetch_from, names.store_at, names.last_event});
@@ -129,7 +129,7 @@
 }
 
 auto RelaySession::arrival_of(HttpRequest const& request, Microseconds now) const -> RelayedRequest {
-    auto const& names = node.form->headers;
+    auto const& names = node.protocol->headers;
     auto const target = request.target();
     return {
         request.method_string(),
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -100,11 +100,11 @@
     auto const empty = without_body(request, message.status);
     auto const length = has_length(message.status) ? parser.content_length() : boost::none;
     facts.received = answer.head_sent ? Received::cut_after_output : Received::cut_before_output;
-    if (!node.form->headers.stamp.empty() && message.fields.find(node.form->headers.stamp) == nullptr) {
+    if (!node.protocol->headers.stamp.empty() && message.fields.find(node.protocol->headers.stamp) == nullptr) {
         reason = "no-stamp";  // without it no response of a replica is accepted as successful
         co_return;
     }
-    if (!node.form->takes_content_codings && message.fields.find(content_encoding) != nullptr) {
+    if (!node.protocol->takes_content_codings && message.fields.find(content_encoding) != nullptr) {
         reason = "content-coding";
         co_return;
     }
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -47,9 +47,9 @@
     auto head = "HTTP/1.1 " + std::to_string(status) + " " +
         std::string(http::obsolete_reason(static_cast<http::status>(status))) +
         "\r\nContent-Type: application/json\r\n";
-    auto const identity = field_of(request, node.form->headers.request_identity);
+    auto const identity = field_of(request, node.protocol->headers.request_identity);
     if (!identity.empty())
-        head.append(node.form->headers.request_identity).append(": ").append(identity).append("\r\n");
+        head.append(node.protocol->headers.request_identity).append(": ").append(identity).append("\r\n");
     if (!retry_after.empty()) head.append("Retry-After: ").append(retry_after).append("\r\n");
     if (!keep) head.append("Connection: close\r\n");
     head.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n");
@@ -143,7 +143,7 @@
     HttpRequest const& request, RelayInterpretation interpretation, RequestLifecycle& lifecycle, RelayAnswer& answer)
     -> awaitable<bool> {
     auto judged = std::move(interpretation.verdict);
-    auto const last = field_of(request, node.form->headers.last_event);
+    auto const last = field_of(request, node.protocol->headers.last_event);
     if (!last.empty() && judged.route->resumable) answer.events.last = event_number(last);
     for (auto step = lifecycle.begin();;) {
         answer.trace.outcome = step_names[static_cast<std::size_t>(step.step)];
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -82,8 +82,8 @@
 // client. `last_event`: number of the last event that the client received, -1: none; `time_left`: time until the
 // replica must stop working on the request.
 auto head_for_replica(
-    WireProtocol const& form, HttpRequest const& request, RelayVerdict const& judged, RequestLifecycle const& lifecycle,
-    std::int64_t last_event, Microseconds time_left) -> std::string;
+    WireProtocol const& protocol, HttpRequest const& request, RelayVerdict const& judged,
+    RequestLifecycle const& lifecycle, std::int64_t last_event, Microseconds time_left) -> std::string;
 // The response head sent to the client: without hop-by-hop fields, with the framing and persistence given here.
 auto head_for_client(ReceivedAnswer const& from, bool chunked, std::optional<std::uint64_t> length, bool keep)
     -> std::string;
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -91,7 +91,7 @@
     auto& parser = *exchange->parser;
     auto const& message = parser.get();
     auto const status = message.status;
-    auto const says_not_run = message.fields.find(node.form->headers.not_run) != nullptr || status == 421;
+    auto const says_not_run = message.fields.find(node.protocol->headers.not_run) != nullptr || status == 421;
     connection->stream.expires_after(answer_timeout());
     parser.limit_stored_body(ReplicaExchange::stored_body_bytes);
     parser.count_in(answer.failure_room.emplace(node.message_memory));
@@ -128,13 +128,13 @@
     attempt.deadline = lifecycle.inference.deadline;
     attempt.begin_by = limits.begin_by;
     if (attempt.may_be_recalled()) attempt.reset_on_close(true);
-    auto const& form = *node.form;
-    auto const identity = request[form.headers.request_identity];
+    auto const& protocol = *node.protocol;
+    auto const identity = request[protocol.headers.request_identity];
     auto exchange_request = ExchangeRequest();
     auto const time_left = std::min(lifecycle.inference.deadline, limits.end_by) - now;
-    exchange_request.head = head_for_replica(form, request, judged, lifecycle, answer.events.last, time_left);
+    exchange_request.head = head_for_replica(protocol, request, judged, lifecycle, answer.events.last, time_left);
     exchange_request.body = request.body();
-    exchange_request.identity_field = form.headers.request_identity;
+    exchange_request.identity_field = protocol.headers.request_identity;
     exchange_request.identity = identity;
     exchange_request.head_only = request.method() == http::verb::head;
     attempt.exchange.emplace(*attempt.connection, std::move(exchange_request));
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -41,7 +41,7 @@
     for (auto index = std::size_t{0}; index < partition_count; ++index)
         control.partitions[index].apply =
             index == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
-    if (form != nullptr) relay_changes();
+    if (protocol != nullptr) relay_changes();
     else take_scheduling_options(table.scheduler.options);
     table.scheduler.load_table.self = identity;
     take_limits();
@@ -120,7 +120,7 @@
     for (auto const& note : output.notes)
         if (!note.late) transport.doubt(note.whom, now);
     loss_tolerance.update(control, now);
-    auto const first_heard = form != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
+    auto const first_heard = protocol != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.snapshot_changed || first_heard) publish_snapshot();
     take_proof();
 }
@@ -131,7 +131,7 @@
 
 auto Node::publish_snapshot() -> void {
     auto const old = snapshot.load();
-    auto fresh = make_snapshot(control, *old, form == nullptr ? nullptr : &form->documents);
+    auto fresh = make_snapshot(control, *old, protocol == nullptr ? nullptr : &protocol->documents);
     if (fresh->rules != old->rules)
         write_log(
             Level::information, "configuration-in-force",
@@ -143,10 +143,10 @@
     take_proof();
     judge_resting(clock_now());
     auto const guard = std::lock_guard(table.lock);
-    if (form != nullptr) weights_guard.proven = WeightsGuard::proven_partitions(control);  // written only here
-    if (form != nullptr) take_services(*fresh);
+    if (protocol != nullptr) weights_guard.proven = WeightsGuard::proven_partitions(control);  // written only here
+    if (protocol != nullptr) take_services(*fresh);
     table.scheduler.load_table.take_list(fresh->list);
-    if (form != nullptr) take_replica_weights(*fresh);
+    if (protocol != nullptr) take_replica_weights(*fresh);
     table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
     table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
     schedule_locked(clock_now());
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -43,7 +43,7 @@
     std::string settings_file;                      // polled for changes; may be empty
     MachineLimits limits;                           // read once, at the start
     MemoryBudget message_memory;                    // for buffered messages: requests, calls, failures
-    WireProtocol const* form = nullptr;             // the wire protocol of a relaying fleet, otherwise null
+    WireProtocol const* protocol = nullptr;         // the wire protocol of a relaying fleet, otherwise null
     asio::io_context context;
     Storage storage;
     Transport transport;
--- a/source/process/node_list.cpp
+++ b/source/process/node_list.cpp
@@ -31,11 +31,11 @@
     auto const began = clock_now();
     while (reading.pages < most_pages) {
         auto const asked_at = clock_now();
-        auto const ask = form->list_call(next);
+        auto const ask = protocol->list_call(next);
         ++counters.list_calls;
         auto const answer = co_await connection.call(settings.platform_address, ask, list_polling.page_limit);
         if (answer.status == 429) ++counters.list_limited;
-        auto page = answer.status == 200 ? form->read_list_page(answer.body) : std::nullopt;
+        auto page = answer.status == 200 ? protocol->read_list_page(answer.body) : std::nullopt;
         if (!page) co_return std::nullopt;
         ++reading.pages;
         add_page(read, std::move(page->replicas));
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -74,7 +74,7 @@
 }
 
 auto Node::parts_manager() -> awaitable<void> {
-    if (!form->events_call) co_return;
+    if (!protocol->events_call) co_return;
     if (settings.front_address.empty() && settings.load_relays_from == 0) co_return;
     spawn_essential(context.get_executor(), catch_up_loop());
     while (!finished) {
@@ -126,9 +126,9 @@
         auto const address = parts_address(name);
         if (address.empty()) break;
         ++counters.part_calls;
-        auto const ask = form->events_call(since, parts_wait);
+        auto const ask = protocol->events_call(since, parts_wait);
         auto const answer = co_await connection.call(address, ask, parts_wait + one_second / 2);
-        auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
+        auto const told = answer.status == 200 ? protocol->read_events(answer.body) : std::nullopt;
         if (!told && store) {  // a batch without an incarnation: the store does not answer
             since = 0;
             life.clear();
@@ -163,9 +163,9 @@
         auto const source = all.find(name);
         if (source == all.end()) continue;
         ++counters.part_calls;
-        auto const ask = form->events_call(0, parts_wait);
+        auto const ask = protocol->events_call(0, parts_wait);
         auto const answer = co_await http_call(source->second.address, ask, parts_wait + one_second / 2);
-        auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
+        auto const told = answer.status == 200 ? protocol->read_events(answer.body) : std::nullopt;
         if (!told) continue;
         in_control([this, batch = batch_of(name, source->second.store, 0, *told)] {
             if (control.cache_caught_up(batch)) take_cache_batch(batch, true);
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -24,7 +24,7 @@
 
 auto Node::list_loop() -> awaitable<void> {
     if (settings.platform_address.empty()) co_return;
-    if (form != nullptr) co_return co_await relay_list_loop();
+    if (protocol != nullptr) co_return co_await relay_list_loop();
     auto connection = HttpConnection(co_await asio::this_coro::executor);
     auto wanted = std::make_shared<std::atomic<bool>>(false);
     auto last_good = std::string();  // the last valid body; not parsed again while unchanged
@@ -51,7 +51,7 @@
 }
 
 auto Node::report_manager() -> awaitable<void> {
-    if (form != nullptr) co_return;  // reports are costly there: requested only while an order is in progress
+    if (protocol != nullptr) co_return;  // reports are costly there: requested only while an order is in progress
     while (!finished) {
         auto const current = snapshot.load();
         for (auto const& entry : current->list.replicas) {
@@ -115,7 +115,7 @@
 // Only the leader of the service's partition sends orders, while it holds the lease. An order carries
 // the leader's term as its fence and the incarnation of its receiver (design 11).
 auto Node::order_loop() -> awaitable<void> {
-    if (form != nullptr) co_return co_await weights_loop();
+    if (protocol != nullptr) co_return co_await weights_loop();
     while (!finished) {
         co_await pause(200 * one_millisecond);
         auto due = std::make_shared<std::vector<Order>>();
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -23,7 +23,7 @@
         if (index == resting_partition) continue;
         control.partitions[index].apply = index == configuration_partition
             ? ApplyChange([this](Copy const& current, Call const& call) {
-                  return apply_versioned(form->documents, current, call);
+                  return apply_versioned(protocol->documents, current, call);
               })
             : ApplyChange(apply_weights_version);
     }
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -25,7 +25,7 @@
     auto& scheduler = table.scheduler;
     scheduler.budget.each_request = bounds.retry_ratio;
     scheduler.budget.available = scheduler.budget.capacity = most_extra_tries(bounds);
-    if (form != nullptr) {  // the product's own wire protocol keeps its tighter limits
+    if (protocol != nullptr) {  // the product's own wire protocol keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
         scheduler.proof_limit = control.times.proof_limit = limits.entry;
         scheduler.proof_shed_limit = control.times.shed_limit = limits.shed;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -127,7 +127,7 @@
         if (relay_acceptors[door])
             spawn_essential(
                 context.get_executor(), relay_accept(*relay_acceptors[door], static_cast<RelayListener>(door)));
-    if (form != nullptr) {
+    if (protocol != nullptr) {
         spawn_essential(context.get_executor(), sweep_loop());
         spawn_essential(context.get_executor(), parts_manager());
     }
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -107,7 +107,7 @@
         // With a zero linger, closing drops unsent data: the kernel does not deliver the order after the limit.
         boost::system::error_code ignored;
         connection.stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
-        auto const call = form->order_call(written(order, control.membership.self.identity));
+        auto const call = protocol->order_call(written(order, control.membership.self.identity));
         auto const lease = co_await lease_checked(order.partition, order.fence);
         if (lease && order_leaves(order.partition, *lease, settings.bounds.lease + holder_margin)) {
             ++counters.orders;
@@ -132,12 +132,13 @@
 }
 
 auto Node::request_report(ReportRequest asked) -> awaitable<void> {
-    auto ask = form->report_call();
-    if (!form->headers.replica_wanted.empty()) ask.headers.emplace_back(form->headers.replica_wanted, asked.replica);
+    auto ask = protocol->report_call();
+    if (!protocol->headers.replica_wanted.empty())
+        ask.headers.emplace_back(protocol->headers.replica_wanted, asked.replica);
     auto const asked_at = clock_now();
     ++counters.weights_reports;
     auto const answer = co_await http_call(asked.address, ask, report_limit);
-    auto const read = answer.status == 200 ? form->read_report(answer.body) : std::nullopt;
+    auto const read = answer.status == 200 ? protocol->read_report(answer.body) : std::nullopt;
     std::optional<ReportedWeights> report;
     if (read) {
         auto const version = read->versions.find(asked.model);
--- a/source/process/run_node.cpp
+++ b/source/process/run_node.cpp
@@ -75,7 +75,7 @@
     node->limits = limits;
     node->settings_file = program.settings_file;
     node->reread = program.read;
-    node->form = program.form;
+    node->protocol = program.protocol;
     auto const status = leaf::try_handle_all(
         [&]() -> leaf::result<ExitStatus> {
             if (auto started = node->start(); !started) {
--- a/source/process/run_node.hpp
+++ b/source/process/run_node.hpp
@@ -9,7 +9,7 @@
     std::function<Problems(NodeSettings&)> read;
     std::string settings_file;
     bool check_only = false;
-    WireProtocol const* form = nullptr;
+    WireProtocol const* protocol = nullptr;
 };
 
 // Starts the node and runs it until it stops; ends the process with the exit status.
--- a/tests/broken_answer_test.cpp
+++ b/tests/broken_answer_test.cpp
@@ -91,7 +91,7 @@
     auto coded = Wire(saying(text, false, false));
     CHECK(coded.ask("id-1").end == TryEnd::answered);
     auto plain = Wire(saying(text, false, false));
-    plain.form.takes_content_codings = false;
+    plain.protocol.takes_content_codings = false;
     CHECK(plain.ask("id-1").end == TryEnd::unknown_before);
     CHECK(plain.seen_by_client().empty());
     CHECK(plain.pooled() == 0);
--- a/tests/hostile_request_test.cpp
+++ b/tests/hostile_request_test.cpp
@@ -79,7 +79,7 @@
     auto read = std::string();
     auto requests = 0;
     auto session = SessionWire(keeping(read, requests), wide_kind(wide));
-    session.wire.form.headers.prefix = "Parts";
+    session.wire.protocol.headers.prefix = "Parts";
     auto const list = parts_list(5'800);
     auto const began = clock_now();
     session.say(post("id-1", 4, "Parts: " + list + "\r\n"));
@@ -179,7 +179,7 @@
         auto kind = Kind();
         kind.repeatable = kind.stream = true;
         auto session = SessionWire(keeping(read, requests), kind);
-        session.wire.form.headers.last_event = "After";
+        session.wire.protocol.headers.last_event = "After";
         session.say(post("id-1", 4, "After: " + std::string(text) + "\r\n"));
         REQUIRE(session.hear("text-of-id-1"));
         CHECK(read.find("After: ") == std::string::npos);
--- a/tests/last_checks_test.cpp
+++ b/tests/last_checks_test.cpp
@@ -8,9 +8,9 @@
 // Design 8.3: the checks before sending accept every request that scheduling may grant under a proof.
 // Otherwise a request loops between the two and takes all processor time.
 TEST_CASE("the checks before sending use the same proof limit as scheduling", "[course]") {
-    auto form = WireProtocol();
+    auto protocol = WireProtocol();
     auto node = std::make_unique<Node>();
-    node->form = &form;
+    node->protocol = &protocol;
     node->settings.bounds.revoke = 5 * one_second;
     node->take_limits();
     auto fresh = std::make_shared<Snapshot>();
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -13,7 +13,7 @@
 // A node that leads the configuration's partition, with a synced follower and one connection to one of its endpoints.
 struct Door {
     asio::io_context context{1};
-    WireProtocol form;
+    WireProtocol protocol;
     std::unique_ptr<Node> node = std::make_unique<Node>();
     tcp::acceptor acceptor{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     tcp::socket client{context};
@@ -21,10 +21,10 @@
     bool ticks = false;
 
     explicit Door(RelayListener door) {
-        form.configuration_path = "/document";
-        form.weights_path = "/weights";
-        form.documents.read_document = [](std::string_view, Problems&) { return std::optional(document()); };
-        node->form = &form;
+        protocol.configuration_path = "/document";
+        protocol.weights_path = "/weights";
+        protocol.documents.read_document = [](std::string_view, Problems&) { return std::optional(document()); };
+        node->protocol = &protocol;
         node->settings.bounds.revoke = 5 * one_second;
         node->take_limits();
         node->control_work.start();
--- a/tests/platform/live/relay_node_check.cpp
+++ b/tests/platform/live/relay_node_check.cpp
@@ -131,12 +131,12 @@
 // Real clocks and sockets: a program of its own.
 TEST_CASE("a node with a form reads the list and brings replicas to the version named") {
     auto stand_in = StandIn(8);
-    auto form = WireProtocol();
-    platform::fill_calls(form);
+    auto protocol = WireProtocol();
+    platform::fill_calls(protocol);
     auto const folder = std::filesystem::temp_directory_path() / ("dockrock-relay-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder);
     auto node = std::make_unique<Node>();
-    node->form = &form;
+    node->protocol = &protocol;
     node->settings.control_address = free_address();
     node->settings.http_address = free_address();
     node->settings.area = "z";
--- a/tests/platform/settings_test.cpp
+++ b/tests/platform/settings_test.cpp
@@ -180,10 +180,10 @@
 }
 
 TEST_CASE("the platform's protocol has all names of its wire format") {
-    auto const& form = platform::platform_protocol();
-    CHECK(form.ready_path == "/-/ready");
-    CHECK(form.configuration_path == "/-/config");
-    CHECK(form.weights_path == "/-/version-put");
-    CHECK(form.headers.request_identity == "Request-Id");
-    CHECK(form.headers.stamp == "Seal");
+    auto const& protocol = platform::platform_protocol();
+    CHECK(protocol.ready_path == "/-/ready");
+    CHECK(protocol.configuration_path == "/-/config");
+    CHECK(protocol.weights_path == "/-/version-put");
+    CHECK(protocol.headers.request_identity == "Request-Id");
+    CHECK(protocol.headers.stamp == "Seal");
 }
--- a/tests/relay_form.hpp
+++ b/tests/relay_form.hpp
@@ -5,19 +5,19 @@
 namespace dockrock::testing {
 
 inline auto relay_form() -> WireProtocol {
-    WireProtocol form;
-    form.headers.request_identity = "Request-Name";
-    form.headers.key = "Secret";
-    form.headers.tenant = "Group";
-    form.headers.deadline = "Left";
-    form.headers.salt = "Salt";
-    form.headers.last_event = "After";
-    form.headers.urgency = "Haste";
-    form.headers.replica_wanted = "Life";
-    form.headers.weights_wanted = "Weights";
-    form.headers.fetch_from = "Fetch";
-    form.headers.store_at = "Store";
-    return form;
+    WireProtocol protocol;
+    protocol.headers.request_identity = "Request-Name";
+    protocol.headers.key = "Secret";
+    protocol.headers.tenant = "Group";
+    protocol.headers.deadline = "Left";
+    protocol.headers.salt = "Salt";
+    protocol.headers.last_event = "After";
+    protocol.headers.urgency = "Haste";
+    protocol.headers.replica_wanted = "Life";
+    protocol.headers.weights_wanted = "Weights";
+    protocol.headers.fetch_from = "Fetch";
+    protocol.headers.store_at = "Store";
+    return protocol;
 }
 
 }  // namespace dockrock::testing
--- a/tests/relay_heads_test.cpp
+++ b/tests/relay_heads_test.cpp
@@ -21,7 +21,7 @@
     boost::system::error_code failure;
     auto const request = parsed(lines, failure);
     REQUIRE_FALSE(failure);
-    auto const form = relay_form();
+    auto const protocol = relay_form();
     auto route = Route();
     auto tenant = ServiceTenant{"clerks", {}};
     auto judged = RelayVerdict();
@@ -30,14 +30,14 @@
     auto lifecycle = RequestLifecycle();
     lifecycle.inference.deadline = 10 * one_second;
     lifecycle.placement.replica = "life-1";
-    return head_for_replica(form, request, judged, lifecycle, -1, 3 * one_second - read_before);
+    return head_for_replica(protocol, request, judged, lifecycle, -1, 3 * one_second - read_before);
 }
 
 // The salt sent with a request with a shared prompt to a replica with these weights.
 auto salt_line(std::string const& name, std::string const& wall, std::string const& weights) -> std::string {
     auto request = HttpRequest(http::verb::post, "/a", 11);
     request.set("Request-Name", name);
-    auto const form = relay_form();
+    auto const protocol = relay_form();
     auto route = Route();
     auto judged = RelayVerdict();
     judged.route = &route;
@@ -47,7 +47,7 @@
     lifecycle.inference.body.prefix.push_back({"part", 100});
     lifecycle.placement.replica = "life-1";
     lifecycle.placement.weights = weights;
-    auto const head = head_for_replica(form, request, judged, lifecycle, -1, 3 * one_second);
+    auto const head = head_for_replica(protocol, request, judged, lifecycle, -1, 3 * one_second);
     auto const at = head.find("Salt: ");
     return at == std::string::npos ? std::string() : head.substr(at, head.find("\r\n", at) - at);
 }
--- a/tests/relayed_test.cpp
+++ b/tests/relayed_test.cpp
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("the head for a replica has no client value in a header that the fleet sets") {
-    auto const form = testing::relay_form();
+    auto const protocol = testing::relay_form();
     auto request = HttpRequest(http::verb::post, "/x/1?q=%20", 11);
     request.set(http::field::host, "a.example");
     request.set("Request-Name", "id-1");
@@ -127,7 +127,7 @@
     lifecycle.inference = judged.verdict.inference;
     lifecycle.placement.replica = "life-1";
     lifecycle.placement.weights = "4";
-    auto const head = head_for_replica(form, request, judged, lifecycle, 12, 2 * one_second);
+    auto const head = head_for_replica(protocol, request, judged, lifecycle, 12, 2 * one_second);
     CHECK(head.starts_with("POST /x/1?q=%20 HTTP/1.1\r\n"));
     CHECK(head.find("forged") == std::string::npos);
     CHECK(head.find("key-one") == std::string::npos);
--- a/tests/request_wire_helpers.hpp
+++ b/tests/request_wire_helpers.hpp
@@ -32,7 +32,7 @@
 
 struct Wire {
     asio::io_context context{1};
-    WireProtocol form;
+    WireProtocol protocol;
     std::unique_ptr<Node> node = std::make_unique<Node>();
     tcp::acceptor door{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     tcp::acceptor client_door{context, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
@@ -45,10 +45,10 @@
     Microseconds limit = 3 * one_second;
 
     explicit Wire(Script given) : script(std::move(given)) {
-        form.headers.request_identity = "Request-Name";
-        form.headers.not_run = "Untouched";
-        form.headers.stamp = "Stamp";
-        node->form = &form;
+        protocol.headers.request_identity = "Request-Name";
+        protocol.headers.not_run = "Untouched";
+        protocol.headers.stamp = "Stamp";
+        node->protocol = &protocol;
         client.connect(client_door.local_endpoint());
         session.reset(
             new RelaySession{*node, beast::tcp_stream(client_door.accept()), {}, std::make_shared<ClientWatch>()});
--- a/tests/work_limits_test.cpp
+++ b/tests/work_limits_test.cpp
@@ -27,7 +27,7 @@
     RelayAnswer answer;
 
     OlderWeights(Script script, Microseconds left) : wire(std::move(script)) {
-        wire.form.headers.deadline = "Left";
+        wire.protocol.headers.deadline = "Left";
         wire.node->settings.bounds.weights = bound;
         auto snapshot = std::make_shared<Snapshot>(*wire.node->snapshot.load());
         snapshot->replica_weights["life-1"].versions["m"] = 1;
