--- a/source/request/relayed.hpp
+++ b/source/request/relayed.hpp
@@ -14,7 +14,7 @@
 };
 
 struct RelayVerdict {
-    Verdict verdict;  // Kind::enter, or an answer with its status and reason
+    Verdict verdict;  // Kind::enqueue, or an answer with its status and reason
     Route const* route = nullptr;
     ServiceTenant const* tenant = nullptr;
     std::shared_ptr<ServiceRules const> rules;  // keeps route and tenant alive
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -4,7 +4,7 @@
 
 namespace dockrock {
 
-// Prompt tokens placed there by any node whose prefill is not known to be finished.
+// Tokens of prompts that any node placed there and whose prefill is not known to be finished.
 auto ReplicaLoadTable::unread(ReplicaState const& state, Microseconds now) const -> std::int64_t {
     auto sum = state.placed_unread + (relayed && !summed_lost(now) ? state.summed.unread * tokens_in_unread : 0);
     if (now - state.remote_oldest <= options.digest_lost) return sum + state.remote_unread;
--- a/source/scheduling/replica_health.hpp
+++ b/source/scheduling/replica_health.hpp
@@ -8,7 +8,7 @@
 
 namespace dockrock {
 
-// Outcomes of the tries at one replica within the last `outcome_window`.
+// Outcomes of the tries at one replica, from all nodes, within the last `outcome_window`.
 struct TryOutcomes {
     std::int64_t ended = 0;   // tries that were answered or failed
     std::int64_t failed = 0;  // of these; refusing a request without running it is not a failure
@@ -16,6 +16,7 @@
 
 inline constexpr Microseconds outcome_window = 3 * one_second;
 
+// Ejection state of one replica.
 struct ReplicaHealth {
     static constexpr std::int64_t min_failed = 3;
     static constexpr std::int64_t failed_share = 4;  // failing: at least one in so many tries
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -38,6 +38,7 @@
     std::string kind;  // "kept", "dropped" or "cleared"
     std::string chain;
 };
+// What a replica reports of itself when asked: process, weights, free memory in tokens, and prefix cache events.
 struct ReplicaReport {
     std::string incarnation;
     std::string weights;
@@ -65,6 +66,7 @@
     std::int64_t failed = 0;
 };
 
+// All that this node knows of one replica.
 struct ReplicaState {
     ReplicaEntry entry;
     struct Placed {
@@ -139,6 +141,7 @@
     std::string_view body;
 };
 
+// The state of every listed replica, and the capacity and memory that are free on each.
 struct ReplicaLoadTable {
     SchedulingOptions options;
     std::string self;
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -47,6 +47,7 @@
     bool listed = false;  // the chosen replica is on the list and not draining
 };
 
+// A claim older than this is made again before sending: the leader may have dropped it.
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
 struct RequestLifecycle {
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -93,7 +93,7 @@
     std::vector<QueuedRequest> waiting;
     double drain_rate = 0.0;  // requests placed per second, while any are queued
     Microseconds drained_at = 0;
-    double service_each_token = 0.0;  // microseconds per output token
+    double service_each_token = 0.0;  // microseconds per token of max_tokens
     Microseconds empty_pool_since = 0;
 };
 
@@ -127,13 +127,17 @@
     auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
     // Queues a request. Sheds it if its deadline can't be met; if the queue is full, sheds it or one of lower rank.
     auto enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void;
+    // Queues a request whose try ended without its having run, or that may run again. `avoid`: that try's replica.
     auto enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void;
     // A fetch of prefix parts ended after `took`; `tokens`: what it brought.
     auto record_fetch(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
+    // Removes a queued request; returns whether there was one.
     auto withdraw(std::uint64_t request_number) -> bool;
+    // Places or sheds queued requests. `proof_age`: time since the configuration was last proved current.
     auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
+    // A request ended at its replica: releases its place. `service`: time from sending to the end.
     auto finished(
         std::string const& replica, InferenceRequest const& inference, Microseconds service, Microseconds now,
         bool answered) -> void;
