--- a/source/base/invariant_checks.hpp
+++ b/source/base/invariant_checks.hpp
@@ -103,7 +103,7 @@
         InvariantFact{"since_other", facts.since_other}, InvariantFact{"wait", facts.wait});
 }
 
-// The leader's lease, recomputed from the votes granted.
+// The leader's lease, recomputed from the voters' lease grants.
 struct LeaseFacts {
     bool leads = false;  // named leader in the record in force, and the disk works
     std::size_t voters = 0;
--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -28,9 +28,8 @@
     Microseconds min_timeout = 400 * one_millisecond;    // minimum timeout of an unacknowledged frame
     Microseconds max_timeout = 1'600 * one_millisecond;  // maximum timeout, on slow links and after backoff
     Microseconds timeout_per_mebibyte = one_second;      // added per MiB in flight up to that frame
-    int max_doublings = 2;  // of both, while no frame sent on an open connection is acknowledged
-    Microseconds instance_silence =
-        one_second;  // silence of the current instance, after which a former one is accepted
+    int max_doublings = 2;                       // of both, while no frame sent on an open connection is acknowledged
+    Microseconds instance_silence = one_second;  // of the current instance, before a former one is accepted
 };
 
 // The smoothed round-trip time and its deviation, as in RFC 6298.
--- a/source/consensus/leader_and_follower.cpp
+++ b/source/consensus/leader_and_follower.cpp
@@ -8,8 +8,7 @@
 
 namespace {
 constexpr Microseconds waiter_limit = 3 * one_second;
-constexpr auto proposal_jitter =
-    std::uint64_t{60'000};  // microseconds of random jitter, so that ballots do not compete
+constexpr auto proposal_jitter = std::uint64_t{60'000};  // microseconds, at most; so that ballots do not compete
 constexpr auto outcome_unknown = std::string_view("outcome not known; ask again under the same change identity");
 }  // namespace
 
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -29,8 +29,8 @@
         while (item.starts_with(' ')) item.remove_prefix(1);
         auto const name = take_until(item, ':');
         auto const tokens = number_of(item, 0);
-        if (name.empty() || tokens < 0 || tokens > most_tokens)
-            break;  // a prefix can't be looked up past an invalid part
+        // A prefix can't be looked up past an invalid part.
+        if (name.empty() || tokens < 0 || tokens > most_tokens) break;
         inference.body.prefix.push_back({std::string(name), tokens});
         inference.chain.push_back(part_hash(inference.isolation_domain, name));
         inference.prefix_tokens += tokens;
--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -136,8 +136,8 @@
 }
 
 auto set_scopes(std::vector<Tenant>& tenants) -> void {
-    std::map<std::string, std::set<std::string>>
-        isolated_domains;  // sharing domain -> domains within it that are isolated
+    // By domain in which tenants share: the domains within it that are isolated.
+    std::map<std::string, std::set<std::string>> isolated_domains;
     for (auto const& tenant : tenants) isolated_domains[tenant.isolation_domain];
     for (auto const& tenant : tenants)
         for (auto const& domain : enclosing_domains(tenant.path))
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -64,8 +64,8 @@
         if (state.weights_hash != target.weights_hash || !state.report || state.report->changing) continue;
         consider(state.entry.address, state.entry.area, load_table.cached_tokens(state, inference));
     }
-    auto const shared =
-        inference.chain.empty() ? std::size_t{0} : inference.chain.size() - 1;  // the last one isn't shared
+    // The request's own last part is not shared.
+    auto const shared = inference.chain.empty() ? std::size_t{0} : inference.chain.size() - 1;
     auto shared_tokens = std::int64_t{0};
     for (auto index = std::size_t{0}; index < shared; ++index) shared_tokens += inference.body.prefix[index].tokens;
     // Everything prefilled is saved, the request's own part included: worth it only if most of it is shared.
