--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -62,9 +62,8 @@
     bool control_listens = false;
     bool stop_asked = false;  // a signal requested the stop during the start
     std::atomic<bool> stopping{false};
-    std::atomic<Microseconds> admission_ends{
-        0};                            // when stopping: requests read later than this are refused; 0: no limit
-    std::atomic<bool> closing{false};  // stopping, and the notice period has passed: no new connections
+    std::atomic<Microseconds> admission_ends{0};  // when stopping: requests read later are refused; 0: no limit
+    std::atomic<bool> closing{false};             // stopping, and the notice period has passed: no new connections
     std::atomic<bool> finished{false};
     std::atomic<bool> resting_now{false};
     std::atomic<bool> disk_loaded{false};  // the data folder's contents are known and written back
--- a/source/process/node_polls.cpp
+++ b/source/process/node_polls.cpp
@@ -87,8 +87,8 @@
         Problems problems;
         if (parsed) read_json(*parsed, report, "", problems);
         if (parsed && problems.empty()) {
-            if (report.incarnation != incarnation && !incarnation.empty() &&
-                next_event > 0) {  // restarted: its events start again
+            // After a restart of the replica its event numbers start again.
+            if (report.incarnation != incarnation && !incarnation.empty() && next_event > 0) {
                 next_event = 0;
                 incarnation = report.incarnation;
                 continue;
