--- a/source/base/peer_link.hpp
+++ b/source/base/peer_link.hpp
@@ -70,7 +70,7 @@
     auto heard(LinkHeader const& header, std::uint64_t own_life, Microseconds now) -> void;
     // The peer did not answer a request in time.
     auto request_timed_out(Microseconds now) -> void;
-    // A new connection was opened.
+    // A new connection is being dialled: forgets the frames in flight on the one before.
     auto dialled() -> void;
     // The timeout of the timed frame, without the allowance for its size.
     auto frame_timeout() const -> Microseconds;
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -16,7 +16,7 @@
 }
 }  // namespace
 
-// Before the first thread runs.
+// Called before the worker threads run and the first frame is read.
 auto Node::take_limits() -> void {
     auto const shares = node_shares(limits, process_use());
     message_memory.set_limit(shares.message_memory);
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -72,6 +72,7 @@
     auto begin_reading(std::string const& fleet_name, Heard heard) -> std::string;
     // listen() and begin_reading().
     auto start(std::string const& address, std::string const& fleet_name, Heard heard) -> std::string;
+    // Sends without blocking; a frame that finds the queue full is dropped and counted.
     auto send(std::string const& address, std::string const& frame, Microseconds now) -> void;
     // Reports that a peer did not answer a request in time.
     auto doubt(std::string const& address, Microseconds now) -> void;
