--- a/source/base/json_structs.hpp
+++ b/source/base/json_structs.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reads and writes Hana-adapted structs as JSON. Reading goes on after an error:
+// Reads and writes Hana-adapted structs as JSON. Reading continues after an error:
 // every problem is collected with its path. docs/design.md section 7.
 #include <boost/hana.hpp>
 #include <boost/json.hpp>
--- a/source/consensus/changes.cpp
+++ b/source/consensus/changes.cpp
@@ -121,7 +121,7 @@
     if (!in_flight) replicate(context);
 }
 
-// Answers 304 without the document where the caller already holds the newest one.
+// Reads the committed document; answers 304 without it if the caller already holds the newest one.
 auto Partition::read_copy(Context& context, Queued const& item) -> void {
     auto const etag = etag_of(committed->sequence);
     auto read = checked_read(*this, context, CallDone{item.origin, item.token, 200, "", etag});
--- a/source/membership/membership.cpp
+++ b/source/membership/membership.cpp
@@ -65,7 +65,7 @@
         entry = KnownMember{report, now, 0};
         remembered_addresses[report.control_address] = report.area;
     }
-    // A node that knows a fleet goes on knowing it: accepted even where the report is not newer otherwise.
+    // A node never ceases to know its fleet: the flag is accepted even from a report that is not newer.
     if (report.knows_fleet && !entry.member.knows_fleet) {
         entry.member.knows_fleet = true;
         entry.times_gossiped = 0;
