--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -58,7 +58,7 @@
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
-// The decision to refuse a queued request without running it.
+// The decision to drop a request from its queue without placing it.
 struct Shed {
     std::uint64_t request_number = 0;
     ShedReason reason = ShedReason::deadline;
