--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -118,7 +118,7 @@
     if (!output.cache_batches.empty()) take_feed(output.cache_batches);
     update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
-        if (!note.late) transport.doubt(note.whom, now);
+        if (!note.late) transport.request_timed_out(note.whom, now);
     loss_tolerance.update(control, now);
     auto const first_heard = form != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.snapshot_changed || first_heard) publish_snapshot();
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -81,8 +81,8 @@
     auto& link = links[address];
     auto const stands = peer.connections->count > 0;
     if (stands) peer.attempts = {};
-    auto const anew = !fresh && dial_due(peer, link, now);
-    if (anew) {
+    auto const redial = !fresh && dial_due(peer, link, now);
+    if (redial) {
         if (!stands) ++(peer.heard ? peer.attempts.while_heard : peer.attempts.in_silence);
         ++redials;
         write_log(
@@ -92,7 +92,7 @@
                 "dialled_before_microseconds", now - peer.dialed_at));
         closer.close(peer.socket, std::exchange(peer.connections, std::make_shared<Peer::Connections>()));
     }
-    if (fresh || anew) {
+    if (fresh || redial) {
         link.dialled();
         if (!dial(address, peer, now)) {
             peers.erase(place);
@@ -100,14 +100,14 @@
         }
     }
     peer.used_at = now;
-    auto const noted = put_link_header({instance, last_number + 1, link.heard_instance, link.heard_number}, frame);
-    if (nng_send(peer.socket, const_cast<char*>(noted.data()), noted.size(), NNG_FLAG_NONBLOCK) == 0) {
-        link.sent(++last_number, noted.size(), now, peer.connections->count > 0);
+    auto const framed = put_link_header({instance, last_number + 1, link.heard_instance, link.heard_number}, frame);
+    if (nng_send(peer.socket, const_cast<char*>(framed.data()), framed.size(), NNG_FLAG_NONBLOCK) == 0) {
+        link.sent(++last_number, framed.size(), now, peer.connections->count > 0);
         ++sent;
     } else {
         ++dropped;
     }
-    let_go_unused(now);
+    close_unused(now);
 }
 
 // The kernel repeats a lost SYN after a second and then after twice as long each time; it does the same with data
@@ -136,7 +136,7 @@
     return true;
 }
 
-auto Transport::mark_heard(std::string const& address, LinkHeader const& note) -> void {
+auto Transport::record_heard(std::string const& address, LinkHeader const& note) -> void {
     auto const guard = std::lock_guard(lock);
     links[address].heard(note, instance, clock_now());
     auto const found = peers.find(address);
@@ -149,12 +149,12 @@
     auto frame = unpack_frame(bytes);
     if (!frame || frame->fleet != fleet) return false;
     ++received;
-    mark_heard(frame->sender_address, *note);
+    record_heard(frame->sender_address, *note);
     heard(std::move(*frame));
     return true;
 }
 
-auto Transport::doubt(std::string const& address, Microseconds now) -> void {
+auto Transport::request_timed_out(std::string const& address, Microseconds now) -> void {
     auto const guard = std::lock_guard(lock);
     if (auto const found = links.find(address); found != links.end()) found->second.request_timed_out(now);
 }
@@ -167,7 +167,7 @@
     return seen;
 }
 
-auto Transport::let_go_unused(Microseconds now) -> void {
+auto Transport::close_unused(Microseconds now) -> void {
     for (auto other = peers.begin(); other != peers.end();) {
         if (now - other->second.used_at < unused_limit) {
             ++other;
--- a/source/process/transport.hpp
+++ b/source/process/transport.hpp
@@ -75,7 +75,7 @@
     // Sends without blocking; a frame that finds the queue full is dropped and counted.
     auto send(std::string const& address, std::string const& frame, Microseconds now) -> void;
     // Reports that a peer did not answer a request in time.
-    auto doubt(std::string const& address, Microseconds now) -> void;
+    auto request_timed_out(std::string const& address, Microseconds now) -> void;
     auto peers_seen(Microseconds now) -> std::vector<PeerSeen>;
     // False: some sockets are still being closed; they are released when the process ends.
     auto stop() -> bool;
@@ -85,10 +85,10 @@
 
     auto read_frames(Heard const& heard) -> void;
     auto dial(std::string const& address, Peer& peer, Microseconds now) -> bool;
-    auto mark_heard(std::string const& address, LinkHeader const& note) -> void;
+    auto record_heard(std::string const& address, LinkHeader const& note) -> void;
     auto dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool;
     auto hear(std::string_view bytes, Heard const& heard) -> bool;
-    auto let_go_unused(Microseconds now) -> void;
+    auto close_unused(Microseconds now) -> void;
 };
 
 }  // namespace dockrock
--- a/tests/stalled_connection_test.cpp
+++ b/tests/stalled_connection_test.cpp
@@ -38,9 +38,9 @@
     while (std::chrono::steady_clock::now() < until) {
         from.send(to);
         if (to.heard.reaches(before + 1, pace)) return true;
-        from.transport.doubt(to.address, clock_now());
+        from.transport.request_timed_out(to.address, clock_now());
         to.send(from);
-        to.transport.doubt(from.address, clock_now());
+        to.transport.request_timed_out(from.address, clock_now());
     }
     return false;
 }
