--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -11,11 +11,11 @@
 namespace dockrock {
 
 namespace {
-constexpr auto start_patience = std::chrono::milliseconds(600);  // after this the node starts without its disk
-constexpr auto first_pause = std::chrono::milliseconds(100);     // between retries on a failing disk, doubled up to
+constexpr auto start_timeout = std::chrono::milliseconds(600);  // after this the node starts without its disk
+constexpr auto first_pause = std::chrono::milliseconds(100);    // between retries on a failing disk, doubled up to
 constexpr auto longest_pause = std::chrono::milliseconds(1'000);
-constexpr auto end_patience = std::chrono::milliseconds(300);  // at a stop, for a write in progress
-constexpr Microseconds stall_limit = 600 * one_millisecond;  // of one write or sync, the limit that the partitions use
+constexpr auto end_timeout = std::chrono::milliseconds(300);  // at a stop, for a write in progress
+constexpr Microseconds stall_limit = 600 * one_millisecond;   // of one write or sync, the limit that the partitions use
 }  // namespace
 
 auto fresh_identity() -> std::string {
@@ -86,10 +86,10 @@
     return holding;
 }
 
-// What the disk holds, if it is loaded within start_patience.
+// What the disk holds, if it is loaded within start_timeout.
 auto Node::await_disk() -> std::optional<DiskHolding> {
     auto guard = std::unique_lock(disk_lock);
-    disk_ready.wait_for(guard, start_patience, [&] { return disk_holding.has_value(); });
+    disk_ready.wait_for(guard, start_timeout, [&] { return disk_holding.has_value(); });
     return std::exchange(disk_holding, std::nullopt);
 }
 
@@ -175,7 +175,7 @@
         disk_stop = true;
         disk_signal.notify_all();
     }
-    if (disk_ended.get_future().wait_for(end_patience) != std::future_status::ready) {
+    if (disk_ended.get_future().wait_for(end_timeout) != std::future_status::ready) {
         write_log(Level::warning, "disk-still-busy", fields("effect", "what is being written was not acknowledged"));
         return disk_thread.detach();
     }
--- a/source/process/transport.cpp
+++ b/source/process/transport.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr Microseconds dial_patience = 200 * one_millisecond;
+constexpr Microseconds dial_timeout = 200 * one_millisecond;
 constexpr Microseconds attempt_limit = 700 * one_millisecond;  // a lost connection attempt is repeated after this
 constexpr Microseconds longest_attempt = 1'400 * one_millisecond;
 constexpr auto most_attempt_doublings = 3;
 constexpr Microseconds unused_limit = 120 * one_second;
-constexpr auto close_patience = std::chrono::milliseconds(100);  // at the end, as part of the time to stop
+constexpr auto close_timeout = std::chrono::milliseconds(100);  // at the end, as part of the time to stop
 
 // Doubles the time for each abandoned attempt, so that connections slower than the first limit can be established.
-auto attempt_patience(Microseconds first, int given_up) -> Microseconds {
+auto attempt_timeout(Microseconds first, int given_up) -> Microseconds {
     return std::min<Microseconds>(first << std::min(given_up, most_attempt_doublings), longest_attempt);
 }
 
@@ -115,10 +115,10 @@
 // redialled if it was not reached yet or reports that our frames do not arrive. Queued frames are dropped.
 auto Transport::dial_due(Peer const& peer, PeerLink const& link, Microseconds now) const -> bool {
     auto const since = now - peer.dialed_at;
-    if (peer.connections->count > 0) return link.other_instance || (link.stalled && since > dial_patience);
+    if (peer.connections->count > 0) return link.other_instance || (link.stalled && since > dial_timeout);
     auto const up = peer.heard || link.stalled;
-    return since > (up ? attempt_patience(dial_patience, peer.attempts.while_heard)
-                       : attempt_patience(attempt_limit, peer.attempts.in_silence));
+    return since > (up ? attempt_timeout(dial_timeout, peer.attempts.while_heard)
+                       : attempt_timeout(attempt_limit, peer.attempts.in_silence));
 }
 
 auto Transport::dial(std::string const& address, Peer& peer, Microseconds now) -> bool {
@@ -191,7 +191,7 @@
     for (auto& [address, peer] : peers) closer.close(peer.socket, std::move(peer.connections));
     peers.clear();
     closer.close(listener, nullptr);
-    return closer.finish(close_patience);
+    return closer.finish(close_timeout);
 }
 
 }  // namespace dockrock
