--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -65,7 +65,7 @@
         });
     });
     if (!problem.empty()) return leaf::new_error(StartFailure{"cannot hear other nodes: " + problem});
-    open_disk_gate();
+    allow_disk_takeover();
     write_log(
         Level::information, "started",
         fields(
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -108,7 +108,7 @@
     std::condition_variable disk_ready;       // from the disk thread to the start
     std::vector<Save> disk_queue;             // this and the next three under disk_lock
     std::optional<DiskHolding> disk_holding;  // loaded and not yet taken over
-    bool disk_gate_open = false;              // the start has completed
+    bool disk_takeover_allowed = false;       // the start has completed
     bool disk_stop = false;
 
     auto start() -> leaf::result<void>;
@@ -154,8 +154,8 @@
     auto try_disk(std::function<bool()> const& work) -> bool;
     auto load_disk() -> std::optional<DiskHolding>;
     auto await_disk() -> std::optional<DiskHolding>;
-    auto open_disk_gate() -> void;
-    auto hand_in(DiskHolding holding) -> bool;
+    auto allow_disk_takeover() -> void;
+    auto deliver_disk_state(DiskHolding holding) -> bool;
     auto take_disk(DiskHolding const& holding) -> void;
     auto next_saves() -> std::vector<Save>;
     auto report_saves(std::vector<Save> const& batch, bool good) -> void;
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -94,20 +94,20 @@
 }
 
 // The start has completed: from now on the disk's state is taken over as soon as it is loaded.
-auto Node::open_disk_gate() -> void {
+auto Node::allow_disk_takeover() -> void {
     auto const guard = std::lock_guard(disk_lock);
-    disk_gate_open = true;
+    disk_takeover_allowed = true;
     disk_signal.notify_all();
 }
 
 // Hands the loaded state to the start, if it still waits, or to the control state machines of a node
 // that started without it. False if the node stops first.
-auto Node::hand_in(DiskHolding holding) -> bool {
+auto Node::deliver_disk_state(DiskHolding holding) -> bool {
     auto guard = std::unique_lock(disk_lock);
     disk_holding = std::move(holding);
     disk_loaded = true;
     disk_ready.notify_all();
-    disk_signal.wait(guard, [&] { return disk_stop || disk_gate_open; });
+    disk_signal.wait(guard, [&] { return disk_stop || disk_takeover_allowed; });
     if (disk_stop) return false;
     auto late = std::exchange(disk_holding, std::nullopt);
     guard.unlock();
@@ -163,7 +163,7 @@
 // While the disk is stalled, changes are not acknowledged; serving goes on.
 auto Node::run_disk() -> void {
     auto holding = load_disk();
-    if (!holding || !hand_in(std::move(*holding))) return;
+    if (!holding || !deliver_disk_state(std::move(*holding))) return;
     for (auto batch = next_saves(); !batch.empty(); batch = next_saves())
         if (!write_saves(std::move(batch))) return;
 }
