--- a/source/process/fatal_signals.cpp
+++ b/source/process/fatal_signals.cpp
@@ -47,7 +47,7 @@
     }
 };
 
-auto tell_signal(int signal) -> void {
+auto report_signal(int signal) -> void {
     auto line = FixedText();
     line.add("dockrock ends: signal ");
     line.add_number(static_cast<std::uint64_t>(signal));
@@ -73,7 +73,7 @@
 auto report_fatal_signals(MachineLimits const& limits) -> void {
     known_limit = limits.memory();
     struct sigaction action = {};
-    action.sa_handler = tell_signal;
+    action.sa_handler = report_signal;
     action.sa_flags = static_cast<int>(SA_RESETHAND);
     for (auto signal : fatal_signals) ::sigaction(signal, &action, nullptr);
 }
--- a/source/process/machine_limits.cpp
+++ b/source/process/machine_limits.cpp
@@ -37,7 +37,7 @@
     return limit.rlim_cur;
 }
 
-auto told_limit(std::int64_t number, std::uint64_t unit) -> std::uint64_t {
+auto configured_limit(std::int64_t number, std::uint64_t unit) -> std::uint64_t {
     return number > 0 ? static_cast<std::uint64_t>(number) * unit : no_limit;
 }
 
@@ -58,11 +58,11 @@
 
 auto machine_limits_of(NodeSettings const& settings) -> MachineLimits {
     MachineLimits limits;
-    limits.resident = told_limit(settings.memory_limit_megabytes, one_megabyte);
+    limits.resident = configured_limit(settings.memory_limit_megabytes, one_megabyte);
     limits.address_space = kernel_limit(RLIMIT_AS);
     limits.data = kernel_limit(RLIMIT_DATA);
     limits.stack = kernel_limit(RLIMIT_STACK);
-    limits.descriptors = std::min(told_limit(settings.descriptor_limit, 1), kernel_limit(RLIMIT_NOFILE));
+    limits.descriptors = std::min(configured_limit(settings.descriptor_limit, 1), kernel_limit(RLIMIT_NOFILE));
     limits.threads = kernel_limit(RLIMIT_NPROC);
     return limits;
 }
--- a/source/process/node_weights.cpp
+++ b/source/process/node_weights.cpp
@@ -33,7 +33,7 @@
     return {due.model, due.order.version, holder, due.fence, due.order.orders, due.order.replica};
 }
 
-auto tell_notes(ControllerActions const& due) -> void {
+auto report_notes(ControllerActions const& due) -> void {
     for (auto const& [partition, reason] : due.held)
         write_log(
             Level::information, "weights-orders-held",
@@ -56,7 +56,7 @@
     auto const now = clock_now();
     auto due = weights_controller.step(control, *snapshot.load(), now);
     weights_under_way = due.under_way;
-    tell_notes(due);
+    report_notes(due);
     auto const metrics = weights_controller.collect_metrics(now);
     counters.weights_behind = metrics.behind;
     counters.weights_overdue = metrics.overdue;
--- a/source/process/run_node.cpp
+++ b/source/process/run_node.cpp
@@ -16,7 +16,7 @@
 enum class ExitStatus : int { well = 0, not_started = 1, wrong_settings = 2, no_room = 3 };
 
 // The terminate handler: writes the reason of an uncaught exception to standard error, whatever the log settings.
-auto tell_uncaught() -> void {
+auto report_uncaught() -> void {
     try {
         if (auto const uncaught = std::current_exception()) std::rethrow_exception(uncaught);
         std::cerr << "dockrock ends: terminated without an exception\n";
@@ -28,7 +28,7 @@
 }
 
 // Reports the reason of a failed start, with the machine's limits and the resources in use.
-auto tell_start_failure(std::string const& what, MachineLimits const& limits) -> void {
+auto report_start_failure(std::string const& what, MachineLimits const& limits) -> void {
     auto const use = process_use();
     write_log(
         Level::failure, "start-failed", {{"what", what}, {"limits", write_limits(limits)}, {"in_use", write_use(use)}});
@@ -48,7 +48,7 @@
 
 auto run_node(NodeProgram& program) -> int {
     limit_footprint();
-    std::set_terminate(tell_uncaught);
+    std::set_terminate(report_uncaught);
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGXFSZ, SIG_IGN);
     auto const node = std::make_unique<Node>();
@@ -68,7 +68,7 @@
     report_fatal_signals(limits);
     write_log(Level::information, "machine-limits", write_limits(limits));
     if (auto const missing = missing_for_start(limits); !missing.empty()) {
-        tell_start_failure(missing, limits);
+        report_start_failure(missing, limits);
         end_process(ExitStatus::no_room);
     }
     node->settings = settings;
@@ -91,15 +91,15 @@
             return ExitStatus::well;
         },
         [&](StartFailure const& failure) {
-            tell_start_failure(failure.what, limits);
+            report_start_failure(failure.what, limits);
             return ExitStatus::not_started;
         },
         [&](std::exception const& failure) {
-            tell_start_failure(failure.what(), limits);
+            report_start_failure(failure.what(), limits);
             return ExitStatus::not_started;
         },
         [&] {
-            tell_start_failure("for a reason that is not known", limits);
+            report_start_failure("for a reason that is not known", limits);
             return ExitStatus::not_started;
         });
     end_process(status);
--- a/source/process/storage.cpp
+++ b/source/process/storage.cpp
@@ -109,7 +109,7 @@
     return LoadResult::loaded;
 }
 
-auto Storage::tell(FileEvent::Kind kind, std::string const& file, std::string_view bytes) const -> void {
+auto Storage::report(FileEvent::Kind kind, std::string const& file, std::string_view bytes) const -> void {
     if (watch) watch({kind, file, std::string(bytes)});
 }
 
@@ -117,20 +117,20 @@
     if (refused(FileEvent::Kind::truncated, file)) return -1;
     auto const flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | O_TRUNC;
     auto const descriptor = ::open((folder / file).c_str(), flags, 0600);
-    if (descriptor >= 0) tell(FileEvent::Kind::truncated, file);
+    if (descriptor >= 0) report(FileEvent::Kind::truncated, file);
     return descriptor;
 }
 
 auto Storage::append(int descriptor, std::string const& file, std::string_view bytes) const -> bool {
     if (refused(FileEvent::Kind::written, file)) return false;
     if (!write_all(descriptor, bytes)) return false;
-    tell(FileEvent::Kind::written, file, bytes);
+    report(FileEvent::Kind::written, file, bytes);
     return true;
 }
 
 auto Storage::sync(int descriptor, std::string const& file) const -> bool {
     auto const good = !refused(FileEvent::Kind::synced, file) && ::fdatasync(descriptor) == 0;
-    tell(good ? FileEvent::Kind::synced : FileEvent::Kind::sync_failed, file);
+    report(good ? FileEvent::Kind::synced : FileEvent::Kind::sync_failed, file);
     return good;
 }
 
@@ -140,7 +140,7 @@
     if (descriptor < 0) return false;
     auto const good = ::fsync(descriptor) == 0;
     ::close(descriptor);
-    if (good) tell(FileEvent::Kind::folder_synced, "");
+    if (good) report(FileEvent::Kind::folder_synced, "");
     return good;
 }
 
--- a/source/process/storage.hpp
+++ b/source/process/storage.hpp
@@ -63,7 +63,7 @@
     auto append(int descriptor, std::string const& file, std::string_view bytes) const -> bool;
     auto sync(int descriptor, std::string const& file) const -> bool;
     auto sync_folder() const -> bool;
-    auto tell(FileEvent::Kind kind, std::string const& file, std::string_view bytes = {}) const -> void;
+    auto report(FileEvent::Kind kind, std::string const& file, std::string_view bytes = {}) const -> void;
 };
 
 }  // namespace dockrock
