--- a/source/process/update_metrics.cpp
+++ b/source/process/update_metrics.cpp
@@ -5,7 +5,7 @@
 namespace dockrock {
 
 namespace {
-constexpr Microseconds news_log_interval = 200 * one_millisecond;
+constexpr Microseconds refusal_log_interval = 200 * one_millisecond;
 }  // namespace
 
 auto UpdateMetrics::take(UpdateCounts const& counts, std::vector<UpdateNote> const& notes) -> void {
@@ -28,7 +28,7 @@
     ++refusals;
     if (proof_age > oldest_refusal) oldest_refusal = proof_age;
     auto logged = refusal_logged.load();
-    if (now - logged < news_log_interval || !refusal_logged.compare_exchange_strong(logged, now)) return;
+    if (now - logged < refusal_log_interval || !refusal_logged.compare_exchange_strong(logged, now)) return;
     write_log(
         Level::information, "refused-by-rules",
         fields("status", status, "sequence", etag_of(sequence), "proof_age_microseconds", proof_age));
