--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -211,11 +211,11 @@
     auto begin_stop() -> void;
     auto take_limits() -> void;
     auto reload() -> void;
-    auto look_at_settings(Microseconds now) -> void;
+    auto poll_settings_file(Microseconds now) -> void;
     auto metrics_text(Microseconds now) -> std::string;
 
     std::filesystem::file_time_type settings_time;  // used only in tick_loop once running
-    Microseconds settings_looked = 0;
+    Microseconds settings_polled_at = 0;
     std::set<std::string> report_loops;             // under loops_lock: names that a loop polls or reads
     std::map<std::string, CacheSource> parts_read;  // under loops_lock: the cache event sources that this node reads
     std::set<std::string> parts_missed;             // under loops_lock: sources whose events arrived with a gap
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -32,13 +32,13 @@
         limit_calls(control.times);
     }
     if (!settings_file.empty()) settings_time = time_of(settings_file);
-    settings_looked = clock_now();
+    settings_polled_at = clock_now();
 }
 
 // Reloads when the settings file changes, as a change may come without a signal.
-auto Node::look_at_settings(Microseconds now) -> void {
-    if (settings_file.empty() || now - settings_looked < look_interval) return;
-    settings_looked = now;
+auto Node::poll_settings_file(Microseconds now) -> void {
+    if (settings_file.empty() || now - settings_polled_at < look_interval) return;
+    settings_polled_at = now;
     auto const time = time_of(settings_file);
     if (time == settings_time) return;
     settings_time = time;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -65,7 +65,7 @@
         ++counters.wakeups;
         if (!tick_waiting.exchange(true)) in_control([this] { tick_control(); });
         auto const now = clock_now();
-        look_at_settings(now);
+        poll_settings_file(now);
         auto guard = std::unique_lock(table.lock);
         if (now >= weights_guard.next_check_at) take_replica_weights(*snapshot.load());
         if (table.scheduler.waiting_count() > 0) schedule_locked(now);
