--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -203,7 +203,7 @@
     auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
-    auto stop_politely() -> awaitable<void>;
+    auto stop_gracefully() -> awaitable<void>;
     // Installs handlers: from now on SIGTERM, SIGINT and SIGHUP no longer end the process by default.
     auto await_signals() -> void;
     auto await_stop() -> void;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -141,7 +141,7 @@
 }
 
 // Graceful stop: report not ready, hand over leader duties, finish the open streams, then exit (design 13).
-auto Node::stop_politely() -> awaitable<void> {
+auto Node::stop_gracefully() -> awaitable<void> {
     set_process_phase(ProcessPhase::stopping);
     write_log(Level::information, "stopping", fields("open_tickets", open_inferences.load()));
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
--- a/source/process/node_signals.cpp
+++ b/source/process/node_signals.cpp
@@ -26,7 +26,7 @@
 
 auto Node::begin_stop() -> void {
     stopping = true;
-    spawn_essential(context.get_executor(), stop_politely());
+    spawn_essential(context.get_executor(), stop_gracefully());
 }
 
 // Ignored during the start, which reads the settings anyway.
--- a/tests/simulation/scenario_losses.cpp
+++ b/tests/simulation/scenario_losses.cpp
@@ -97,7 +97,7 @@
             scenario.world.kill(lost, true);
             come_instead(lost);
         };
-        world.stop_politely(lost, stop_limit, end);
+        world.stop_gracefully(lost, stop_limit, end);
         world.at(world.now + stop_limit, end);
         scenario.run_until([&] { return !world.nodes[lost]->running || world.nodes[lost]->life != life; }, stop_limit);
     }
@@ -115,7 +115,7 @@
         };
         replace(lost, *fresh);
         auto const identity = world.nodes[lost]->disk.identity;
-        world.stop_politely(lost, stop_limit, end);
+        world.stop_gracefully(lost, stop_limit, end);
         world.at(world.now + stop_limit, end);
         scenario.run_until([&] { return !world.nodes[lost]->running; }, stop_limit);
         // Leadership, copy and vote went on before the end.
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -125,7 +125,7 @@
     auto named(std::string const& identity, bool as_voter) const -> bool;  // by a newest record, as member or voter
     auto led() -> bool;                                                    // the configuration has a leased leader
     auto could_be_led() -> bool;  // voters enough for one are in touch with a member of the group
-    auto stop_politely(std::size_t index, Microseconds limit, std::function<void()> then) -> void;
+    auto stop_gracefully(std::size_t index, Microseconds limit, std::function<void()> then) -> void;
     // As many core nodes as may be lost at once: of the configuration's group, its leader first, or any.
     auto some_cores(Random& by, bool of_the_group) -> std::vector<std::size_t>;
 
--- a/tests/simulation/world_state.cpp
+++ b/tests/simulation/world_state.cpp
@@ -98,7 +98,7 @@
 }
 
 // As a node stops (process/node_run.cpp): duties handed over for a time, then out.
-auto World::stop_politely(std::size_t index, Microseconds limit, std::function<void()> then) -> void {
+auto World::stop_gracefully(std::size_t index, Microseconds limit, std::function<void()> then) -> void {
     note("polite stop " + nodes[index]->address);
     stop_step(index, nodes[index]->life, now + std::min(limit, handing_limit), std::move(then));
 }
