--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -5,23 +5,23 @@
 
 auto Control::start(
     ControlSettings const& given, std::string const& identity, std::uint64_t incarnation, std::uint64_t seed,
-    std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void {
+    std::vector<SavedPartition> const& saved_partitions, bool had_state, Microseconds now) -> void {
     settings = given;
     random.state = seed;
     membership.seeds = given.seeds;
     set_identity(identity, incarnation);
-    load_partitions(saved_parts, had_state, now);
+    load_partitions(saved_partitions, had_state, now);
 }
 
 // The old identity is not announced as gone: nodes that see the new one at this address with a higher
 // incarnation know it. A node with an empty disk continues as a new identity and votes as one.
 auto Control::take_disk(
-    std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_parts,
+    std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_partitions,
     bool had_state, Microseconds now) -> void {
     settings.core = true;
     membership.known.erase(identity);
     set_identity(identity, std::max(incarnation, membership.self.incarnation + 1));
-    load_partitions(saved_parts, had_state, now);
+    load_partitions(saved_partitions, had_state, now);
 }
 
 auto Control::set_identity(std::string const& identity, std::uint64_t incarnation) -> void {
@@ -36,7 +36,7 @@
     if (settings.core && !settings.may_form) self.never_forms = true;
 }
 
-auto Control::load_partitions(std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now)
+auto Control::load_partitions(std::vector<SavedPartition> const& saved_partitions, bool had_state, Microseconds now)
     -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto& partition = partitions[index];
@@ -47,7 +47,7 @@
         partition.leader_heard = partition.leader_since = now;
         if (had_state) partition.vote_from = now + partition.times.grant_duration;
     }
-    for (auto const& saved_part : saved_parts) {
+    for (auto const& saved_part : saved_partitions) {
         if (saved_part.partition < 0 || saved_part.partition >= static_cast<int>(partition_count)) continue;
         auto& partition = partitions[static_cast<std::size_t>(saved_part.partition)];
         partition.votes = saved_part.votes;
--- a/source/control/control.hpp
+++ b/source/control/control.hpp
@@ -100,10 +100,10 @@
 
     auto start(
         ControlSettings const& given, std::string const& identity, std::uint64_t incarnation, std::uint64_t seed,
-        std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void;
+        std::vector<SavedPartition> const& saved_partitions, bool had_state, Microseconds now) -> void;
     // A node that started without its disk becomes the core node whose state is on the disk.
     auto take_disk(
-        std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_parts,
+        std::string const& identity, std::uint64_t incarnation, std::vector<SavedPartition> const& saved_partitions,
         bool had_state, Microseconds now) -> void;
     auto tick(Microseconds now) -> ControlOutput;
     auto receive(Microseconds now, std::string const& from, std::string const& address, Message const& message)
@@ -149,7 +149,7 @@
 
    private:
     auto set_identity(std::string const& identity, std::uint64_t incarnation) -> void;
-    auto load_partitions(std::vector<SavedPartition> const& saved_parts, bool had_state, Microseconds now) -> void;
+    auto load_partitions(std::vector<SavedPartition> const& saved_partitions, bool had_state, Microseconds now) -> void;
     auto with_partitions(Microseconds now, ControlOutput& output, std::function<void(Context&)> const& work) -> void;
     // A received message: arrival time, sender, and where the effects are collected.
     struct Arrival {
--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -22,7 +22,7 @@
     // A disk that is not loaded in time is taken over later; until then this node has no duties.
     auto const held = core ? await_disk() : std::nullopt;
     auto const blank = DiskHolding{fresh_identity(), core ? 1 : static_cast<std::uint64_t>(started_at), false, {}};
-    auto const& [identity, incarnation, had_state, saved_parts] = held ? *held : blank;
+    auto const& [identity, incarnation, had_state, saved_partitions] = held ? *held : blank;
     auto const given = ControlSettings{
         settings.control_address,
         settings.http_address,
@@ -36,8 +36,8 @@
         settings.resting};
     auto device = std::random_device();
     control.start(
-        given, identity, incarnation, (static_cast<std::uint64_t>(device()) << 32U) ^ device(), saved_parts, had_state,
-        started_at);
+        given, identity, incarnation, (static_cast<std::uint64_t>(device()) << 32U) ^ device(), saved_partitions,
+        had_state, started_at);
     for (auto index = std::size_t{0}; index < partition_count; ++index)
         control.partitions[index].apply =
             index == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -79,8 +79,8 @@
     Microseconds started_at = 0;
     std::map<std::uint64_t, std::function<void(ClaimDone)>> claim_waiters;  // inside control_work
     std::map<std::uint64_t, std::function<void(CallDone)>> call_waiters;    // inside control_work
-    std::array<std::uint64_t, partition_count> logged_epochs{};             // this and the next two inside control_work
-    std::array<bool, partition_count> logged_owned{};
+    std::array<std::uint64_t, partition_count> logged_terms{};              // this and the next two inside control_work
+    std::array<bool, partition_count> logged_leased{};
     bool load_relayed = false;                 // same value as in the table
     RestingPolicy resting;                     // inside control_work
     std::atomic<Microseconds> awake_until{0};  // set when a request wakes this resting node
@@ -123,7 +123,7 @@
     WeightsGuard weights_guard;                                // under table.lock
     auto take_replica_weights(Snapshot const& fresh) -> void;  // under table.lock
     auto tick_control() -> void;
-    auto log_parts(Microseconds now) -> void;
+    auto log_partitions(Microseconds now) -> void;
     auto report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
     auto judge_load(Microseconds now) -> void;  // decides whether load goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -19,31 +19,31 @@
 auto Node::tick_control() -> void {
     auto const now = clock_now();
     apply_output(control.tick(now));
-    log_parts(now);
+    log_partitions(now);
     log_disk(now);
     judge_resting(now);
     judge_load(now);
     tick_waiting = false;
 }
 
-auto Node::log_parts(Microseconds now) -> void {
+auto Node::log_partitions(Microseconds now) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const number = static_cast<int>(index);
         auto const name = std::string(partition_names[index]);
         auto const& record = control.best_record(number);
-        if (record.term != logged_epochs[index])
+        if (record.term != logged_terms[index])
             write_log(
                 Level::information, "record",
                 {{"partition", name},
                  {"term", record.term},
                  {"leader", record.leader},
                  {"followers", write_json(record.followers)}});
-        logged_epochs[index] = record.term;
+        logged_terms[index] = record.term;
         auto const owned = control.leads(number, now);
-        if (owned != logged_owned[index])
+        if (owned != logged_leased[index])
             write_log(
                 Level::information, owned ? "lease-held" : "lease-ended", {{"partition", name}, {"term", record.term}});
-        logged_owned[index] = owned;
+        logged_leased[index] = owned;
     }
 }
 
