--- a/source/consensus/partition.hpp
+++ b/source/consensus/partition.hpp
@@ -70,7 +70,7 @@
     Votes votes;
     Copy copy;                              // newest on this node, may be uncommitted
     Sequence synced;                        // newest sequence synced to disk
-    std::optional<Sequence> logged;         // last given to the disk: a change with another base is saved as a whole
+    std::optional<Sequence> last_written;   // last given to the disk: a change with another base is saved as a whole
     std::optional<CopyChange> last_change;  // that produced `copy`
     std::optional<Copy> committed;          // only on the leader, once all members are known to hold it
     ClaimTable claims;
@@ -185,7 +185,7 @@
     auto save(Context& context, bool with_copy, std::vector<IdentifiedMessage> after) -> std::uint64_t;
     auto save_change(Context& context, std::optional<CopyChange> change, std::vector<IdentifiedMessage> after)
         -> std::uint64_t;
-    auto give_to_disk(Context& context, SavedPartition saved, std::vector<IdentifiedMessage> after) -> std::uint64_t;
+    auto queue_save(Context& context, SavedPartition saved, std::vector<IdentifiedMessage> after) -> std::uint64_t;
     auto may_vote(Context& context, std::string const& from, std::uint64_t term, Record const& proof) -> bool;
     auto disk_late(Microseconds now) const -> bool;
     auto lease_by(std::map<std::string, Microseconds> const& answers) const -> Microseconds;
--- a/source/consensus/voting_and_lease.cpp
+++ b/source/consensus/voting_and_lease.cpp
@@ -8,31 +8,31 @@
 auto Partition::save(Context& context, bool with_copy, std::vector<IdentifiedMessage> after) -> std::uint64_t {
     SavedPartition state;
     if (with_copy) state.copy = copy;
-    return give_to_disk(context, std::move(state), std::move(after));
+    return queue_save(context, std::move(state), std::move(after));
 }
 
 // Writes the whole copy where the one last given to the disk is not the base of the change.
 auto Partition::save_change(Context& context, std::optional<CopyChange> change, std::vector<IdentifiedMessage> after)
     -> std::uint64_t {
-    if (!change || change->base != logged) return save(context, true, std::move(after));
+    if (!change || change->base != last_written) return save(context, true, std::move(after));
     SavedPartition state;
     state.change = std::move(change);
-    return give_to_disk(context, std::move(state), std::move(after));
+    return queue_save(context, std::move(state), std::move(after));
 }
 
-auto Partition::give_to_disk(Context& context, SavedPartition state, std::vector<IdentifiedMessage> after)
+auto Partition::queue_save(Context& context, SavedPartition state, std::vector<IdentifiedMessage> after)
     -> std::uint64_t {
     Save request;
     request.token = context.random.next() | 1U;
-    if (state.copy || state.change) request.copy_sequence = logged = copy.sequence;
+    if (state.copy || state.change) request.copy_sequence = last_written = copy.sequence;
     request.saved = std::move(state);
     request.saved.partition = index;
     request.saved.votes = votes;
     request.after = std::move(after);
-    auto& [since, kept] = saving[request.token];
+    auto& [since, pending] = saving[request.token];
     since = context.now;
-    kept.after = request.after;
-    kept.copy_sequence = request.copy_sequence;
+    pending.after = request.after;
+    pending.copy_sequence = request.copy_sequence;
     auto const token = request.token;
     context.saves.push_back(std::move(request));
     return token;
@@ -43,10 +43,10 @@
     auto const found = saving.find(token);
     // A failed save stays pending: it is reported again after everything was rewritten and synced (design 6).
     if (!ok || found == saving.end()) return;
-    auto kept = std::move(found->second.second);
+    auto pending = std::move(found->second.second);
     saving.erase(found);
-    if (kept.copy_sequence) synced = *kept.copy_sequence;  // saves complete in order
-    for (auto& item : kept.after) context.sends.push_back(std::move(item));
+    if (pending.copy_sequence) synced = *pending.copy_sequence;  // saves complete in order
+    for (auto& item : pending.after) context.sends.push_back(std::move(item));
     advance_commit(context);
     claims_saved(context, token);
     if (!proposal || proposal->stage != Proposal::Stage::copying || token != proposal->seal_token) return;
--- a/source/control/control.cpp
+++ b/source/control/control.cpp
@@ -56,7 +56,7 @@
         if (saved_part.copy) {
             partition.copy = *saved_part.copy;
             partition.synced = partition.copy.sequence;
-            partition.logged = partition.copy.sequence;
+            partition.last_written = partition.copy.sequence;
         }
     }
     membership.self.knows_fleet = knows_fleet();
--- a/source/control/control_recovery.cpp
+++ b/source/control/control_recovery.cpp
@@ -127,7 +127,7 @@
         for (auto index = std::size_t{0}; index < partition_count; ++index) {
             auto& partition = partitions[index];
             partition.copy = {order.partitions[index].sequence, order.partitions[index].document, {}};
-            partition.logged.reset();  // the disk holds a different document
+            partition.last_written.reset();  // the disk holds a different document
             partition.learn(context, Record{order.term, "", {}, order.voters});
         }
     });
--- a/tests/operator_door_test.cpp
+++ b/tests/operator_door_test.cpp
@@ -72,7 +72,7 @@
         auto& copy = machine().copy;
         copy.document = text;
         copy.sequence = machine().synced = machine().progress["b"].synced_sequence = {1, number};
-        machine().logged = copy.sequence;
+        machine().last_written = copy.sequence;
         machine().committed = copy;
     }
     auto grant(Microseconds asked_at) -> void {
