--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -92,11 +92,11 @@
 
 // The longest prefix cached by replicas of these weights, and the longest that a store has for them.
 auto Scheduler::cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes {
-    auto runs = CachedPrefixes{weights_hash};
+    auto prefixes = CachedPrefixes{weights_hash};
     for (auto const* state : load_table.pool(inference.body.model)) {
         if (state->weights_hash != weights_hash || state->unreachable || !state->report || state->report->changing)
             continue;
-        runs.replicas = std::max(runs.replicas, load_table.cached_tokens(*state, inference));
+        prefixes.replicas = std::max(prefixes.replicas, load_table.cached_tokens(*state, inference));
     }
     for (auto const& [name, store] : stores) {
         if (!store.up || !options.store_reads) continue;
@@ -105,9 +105,9 @@
             if (!store.parts.contains(inference.chain[index] ^ weights_hash)) break;
             tokens += inference.body.prefix[index].tokens;
         }
-        runs.stores = std::max(runs.stores, tokens);
+        prefixes.stores = std::max(prefixes.stores, tokens);
     }
-    return runs;
+    return prefixes;
 }
 
 // Least work before the first token; ties are broken by the hash of the shared prefix.
@@ -122,10 +122,10 @@
     auto const rates =
         PlacementRates{prefill_rate(inference.body.model) / options.fetch_tokens_each_second, options.copy_cost};
     std::vector<CachedPrefixes> known;
-    auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
-        for (auto const& runs : known)
-            if (runs.weights_hash == mark) return runs;
-        return known.emplace_back(cached_prefixes(inference, mark));
+    auto const prefixes_for = [&](std::uint64_t weights_hash) -> CachedPrefixes const& {
+        for (auto const& prefixes : known)
+            if (prefixes.weights_hash == weights_hash) return prefixes;
+        return known.emplace_back(cached_prefixes(inference, weights_hash));
     };
     auto view = PlacementView();
     view.prompt = inference.prompt_tokens + inference.prefix_tokens;
@@ -134,10 +134,10 @@
     auto best_work = 0.0;
     for (auto const* state : found) {
         view.cached = load_table.cached_tokens(*state, inference);
-        auto const& runs = runs_for(state->weights_hash);
+        auto const& prefixes = prefixes_for(state->weights_hash);
         view.outstanding = load_table.unread(*state, now);
-        view.best_cached = runs.replicas;
-        view.movable = std::max(options.peer_moves ? runs.replicas : 0, runs.stores);
+        view.best_cached = prefixes.replicas;
+        view.movable = std::max(options.peer_moves ? prefixes.replicas : 0, prefixes.stores);
         view.queued = std::max<std::int64_t>(0, load_table.running(*state, now) + 1 - state->entry.capacity);
         view.home = !options.prefix_home || state == home;
         auto const work = work_before_first_token(view, rates);
