--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -47,7 +47,7 @@
     if (!present) {
         node.table.abandon(number);
         ++node.counters.callers_gone;
-        co_return lifecycle.gone();
+        co_return lifecycle.client_disconnected();
     }
     auto const entry = node.table.leave(number);
     node.latency_metrics.waiting(lifecycle.inference).add(clock_now() - began);
@@ -85,7 +85,7 @@
     log_inference(
         lifecycle.inference, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
     usable = result.usable;
-    co_return result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason);
+    co_return result.held_back ? lifecycle.send_cancelled() : lifecycle.ended(result.end, result.reason);
 }
 
 auto Session::log_inference(InferenceRequest const& inference, char const* event, std::string what, std::string replica)
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -109,7 +109,7 @@
     if (watch->gone) {
         node.table.abandon(number);
         ++node.counters.callers_gone;
-        co_return lifecycle.gone();
+        co_return lifecycle.client_disconnected();
     }
     auto const entry = node.table.leave(number);
     if (entry.shed)
@@ -181,7 +181,8 @@
                         fields("replica", replica, "reason", result.reason, "route", judged.route->name));
                 auto limits = RetryLimits();
                 limits.time_left = lifecycle.inference.deadline - clock_now();
-                step = result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason, limits);
+                step =
+                    result.held_back ? lifecycle.send_cancelled() : lifecycle.ended(result.end, result.reason, limits);
                 break;
             }
             case Step::answer_shed:
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -164,7 +164,7 @@
     return step;
 }
 
-auto RequestLifecycle::gone() const -> LifecycleStep {
+auto RequestLifecycle::client_disconnected() const -> LifecycleStep {
     LifecycleStep step;
     step.release_claim = claim_held && !history.may_have_run;
     return step;
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -72,8 +72,8 @@
     auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> LifecycleStep;
     // The rules, the replica list or the proof changed just before the request was written. Nothing was sent, so
     // it does not count as a try.
-    auto held_back() -> LifecycleStep { return requeue(); }
-    auto gone() const -> LifecycleStep;  // the client disconnected
+    auto send_cancelled() -> LifecycleStep { return requeue(); }
+    auto client_disconnected() const -> LifecycleStep;  // the client disconnected
     // Repeats the checks before sending after a delay, such as opening a connection.
     auto may_be_sent(LifecycleFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -184,7 +184,7 @@
     CHECK(lifecycle.ended(TryEnd::unknown_before, "broke").step == Step::enqueue);
     CHECK(lifecycle.was_shed("deadline", 1).step == Step::answer_unknown);
     CHECK_FALSE(lifecycle.was_shed("deadline", 1).release_claim);
-    CHECK_FALSE(lifecycle.gone().release_claim);
+    CHECK_FALSE(lifecycle.client_disconnected().release_claim);
     auto once = course_of(true);
     once.claim_held = true;
     CHECK(once.ended(TryEnd::unknown_before, "broke").step == Step::answer_unknown);
--- a/tests/moved_rules_test.cpp
+++ b/tests/moved_rules_test.cpp
@@ -74,7 +74,7 @@
     auto answer = RelayAnswer();
     wire.know(true);
     REQUIRE(wire.send(Wire::request("id-1", 4), lifecycle, answer, verdict).held_back);
-    auto const step = lifecycle.held_back();
+    auto const step = lifecycle.send_cancelled();
     CHECK(step.step == Step::enqueue);
     CHECK(step.release_replica == "life-1");
     CHECK(lifecycle.try_number == 1);
--- a/tests/simulation/fleet_callers.cpp
+++ b/tests/simulation/fleet_callers.cpp
@@ -68,7 +68,7 @@
             auto const found = planes[node].courses.find(number);
             if (found == planes[node].courses.end() || !found->second.entered) return;
             planes[node].scheduler.withdraw(number);
-            drive(node, number, found->second.lifecycle.gone());
+            drive(node, number, found->second.lifecycle.client_disconnected());
         });
     });
 }
