--- a/source/sequence/rules.cpp
+++ b/source/sequence/rules.cpp
@@ -17,7 +17,7 @@
         rules.push_back({Operation::check_kind, ""});
         rules.push_back({Operation::check_model, ""});
         rules.push_back({Operation::check_sizes, "", limits.max_tokens});
-        rules.push_back({Operation::enter_buffer, ""});
+        rules.push_back({Operation::enqueue, ""});
     } else {
         rules.push_back({Operation::body_limit, "", limits.body_bytes});
         rules.push_back({Operation::check_key, ""});
--- a/source/sequence/rules.hpp
+++ b/source/sequence/rules.hpp
@@ -20,7 +20,7 @@
     check_kind,
     check_model,
     check_sizes,
-    enter_buffer,
+    enqueue,
     forward_application
 };
 inline constexpr auto operation_names = std::to_array<std::string_view>(
--- a/source/ticket/interpreter.cpp
+++ b/source/ticket/interpreter.cpp
@@ -116,7 +116,7 @@
             case Operation::check_kind: return check_kind();
             case Operation::check_model: return check_model();
             case Operation::check_sizes: return check_sizes(rule.number);
-            case Operation::enter_buffer: verdict.kind = Verdict::Kind::enqueue; return false;
+            case Operation::enqueue: verdict.kind = Verdict::Kind::enqueue; return false;
             case Operation::forward_application:
                 verdict.kind = Verdict::Kind::forward;
                 verdict.forward_path = "/" + arrival.path.substr(std::min(arrival.path.size(), rule.text.size()));
