--- a/source/scheduling/options.cpp
+++ b/source/scheduling/options.cpp
@@ -29,7 +29,7 @@
      {"share_bound", &SchedulingOptions::share_bound, 1, 100},
      {"rank_weight", &SchedulingOptions::rank_weight, 0, 100},
      {"refused_pause", &SchedulingOptions::refused_pause, 0, 10'000, one_millisecond},
-     {"owing_limit", &SchedulingOptions::owing_limit, 0, 60'000, one_millisecond},
+     {"owing_limit", &SchedulingOptions::budget_wait_limit, 0, 60'000, one_millisecond},
      {"least_saved", &SchedulingOptions::least_saved, 0, 1e9},
      {"idle_open", &SchedulingOptions::idle_open, 0, 1},
      {"work_outstanding", &SchedulingOptions::work_outstanding, 0, 1},
--- a/source/scheduling/options.hpp
+++ b/source/scheduling/options.hpp
@@ -23,7 +23,7 @@
     Microseconds share_half_life = 10 * one_second;        // of a tenant's recorded usage
     Microseconds unreachable_pause = 500 * one_millisecond;
     Microseconds refused_pause = 150 * one_millisecond;       // after a replica refused a request as busy
-    Microseconds owing_limit = one_second;                    // how long a retry waits for the retry budget
+    Microseconds budget_wait_limit = one_second;              // how long a retry waits for the retry budget
     Microseconds empty_pool_limit = 1'500 * one_millisecond;  // no usable replica for so long: requests are shed
     double fetch_tokens_each_second = 100'000.0;
     Microseconds link_memory = 30 * one_second;   // how long a measured link speed counts
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -61,7 +61,7 @@
     buffer.waiting.push_back({inference, now, {}, 0});
 }
 
-// Only for a request that may be sent once more (see retry_decision.hpp). It waits up to `owing_limit` for the
+// Only for a request that may be sent once more (see retry_decision.hpp). It waits up to `budget_wait_limit` for the
 // retry budget, and is shed if the budget can't cover it by then (design 10.4).
 auto Scheduler::enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void {
     queues[inference.body.model].waiting.push_back({inference, inference.arrived_at, {avoid}, now});
@@ -148,11 +148,11 @@
     std::set<std::uint64_t> gone;
     for (auto position = std::size_t{0}; position < depth; ++position) {  // the bounded search of the paper
         auto& waiting = buffer.waiting[order[position].second];
-        auto const owes = waiting.awaiting_budget_since != 0;
-        if (owes && !budget.any()) continue;
+        auto const awaiting_budget = waiting.awaiting_budget_since != 0;
+        if (awaiting_budget && !budget.any()) continue;
         auto const* found = choose(waiting, now);
         if (found == nullptr) continue;
-        if (owes) {
+        if (awaiting_budget) {
             budget.take();
             ++extra_tries;
         }
@@ -173,7 +173,7 @@
             return true;
         }
         if (item.awaiting_budget_since != 0 && !budget.any() &&
-            now - item.awaiting_budget_since > options.owing_limit) {
+            now - item.awaiting_budget_since > options.budget_wait_limit) {
             shed(decisions, buffer, item.inference.number, ShedReason::budget);
             return true;
         }
