--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -39,8 +39,9 @@
     line["tokens_to_read"] = placement.tokens_to_read;
     line["outstanding_tokens"] = placement.outstanding;
     line["running"] = placement.running;
-    line["held_by"] =
-        placement.held_by ? std::string(filter_names[static_cast<std::size_t>(*placement.held_by)]) : std::string();
+    line["held_by"] = placement.blocking_filter
+        ? std::string(filter_names[static_cast<std::size_t>(*placement.blocking_filter)])
+        : std::string();
     write_log(Level::debug, "request", std::move(line));
 }
 
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -41,7 +41,7 @@
         if (result == Filter::failing) failing.push_back(state);
     }
     if (passed.empty()) {
-        waiting.held_by = most_frequent(counts);
+        waiting.blocking_filter = most_frequent(counts);
         return failing;
     }
     return passed;
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -121,7 +121,7 @@
     placement.outstanding = load_table.unread(state, now);
     placement.running = load_table.running(state, now);
     placement.best_cached = cached_prefixes(inference, state.weights_hash).replicas;
-    placement.held_by = waiting.held_by;
+    placement.blocking_filter = waiting.blocking_filter;
     auto const memory = inference.declared() - placement.cached_tokens;
     load_table.place(placement.replica, inference, memory, now, placement.tokens_to_read);
     auto& used = usage[inference.tenant_path];
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -40,12 +40,12 @@
     std::int64_t cached_tokens = 0;
     FetchPlan fetch;
     // State at the time of the decision, for logs and estimates.
-    std::int64_t tokens_to_read = 0;  // prompt tokens to prefill: neither cached there nor fetched
-    std::int64_t outstanding = 0;     // tokens of other prompts to be prefilled there first
-    std::int64_t running = 0;         // requests there
-    std::int64_t best_cached = 0;     // longest prefix cached by any replica of these weights, in tokens
-    std::optional<Filter> held_by;    // the filter that last kept it queued
-    bool short_prompt = false;        // prefill so short that the request goes first at its replica
+    std::int64_t tokens_to_read = 0;        // prompt tokens to prefill: neither cached there nor fetched
+    std::int64_t outstanding = 0;           // tokens of other prompts to be prefilled there first
+    std::int64_t running = 0;               // requests there
+    std::int64_t best_cached = 0;           // longest prefix cached by any replica of these weights, in tokens
+    std::optional<Filter> blocking_filter;  // the filter that last kept it queued
+    bool short_prompt = false;              // prefill so short that the request goes first at its replica
 };
 // The longest cached prefixes of a prompt for one version of the weights, in tokens.
 struct CachedPrefixes {
@@ -86,7 +86,7 @@
     Microseconds since = 0;
     std::set<std::string> avoid;             // replicas that refused it or failed
     Microseconds awaiting_budget_since = 0;  // a retry that waits for the retry budget since then; 0: none
-    std::optional<Filter> held_by;
+    std::optional<Filter> blocking_filter;
 };
 // The queue of one model and its measured rates.
 struct ModelQueue {
