--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -147,7 +147,7 @@
     if (form != nullptr) take_services(*fresh);
     table.scheduler.load_table.take_list(fresh->list);
     if (form != nullptr) take_replica_weights(*fresh);
-    table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
+    table.scheduler.queue_limit = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
     table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
     schedule_locked(clock_now());
 }
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -13,52 +13,52 @@
 
 auto Scheduler::waiting_count() const -> std::size_t {
     auto count = std::size_t{0};
-    for (auto const& [model, buffer] : queues) count += buffer.waiting.size();
+    for (auto const& [model, queue] : queues) count += queue.waiting.size();
     return count;
 }
 
-auto Scheduler::retry_after(ModelQueue const& buffer) const -> std::int64_t {
-    if (buffer.drain_rate <= 0.01) return buffer.waiting.empty() ? 1 : 5;
-    auto const seconds = static_cast<double>(buffer.waiting.size()) / buffer.drain_rate;
+auto Scheduler::retry_after(ModelQueue const& queue) const -> std::int64_t {
+    if (queue.drain_rate <= 0.01) return queue.waiting.empty() ? 1 : 5;
+    auto const seconds = static_cast<double>(queue.waiting.size()) / queue.drain_rate;
     return std::clamp<std::int64_t>(static_cast<std::int64_t>(std::ceil(seconds)), 1, 30);
 }
 
-auto Scheduler::shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason)
+auto Scheduler::shed(Decisions& decisions, ModelQueue const& queue, std::uint64_t request_number, ShedReason reason)
     -> void {
     ++shed_counts[static_cast<std::size_t>(reason)];
-    decisions.sheds.push_back({request_number, reason, retry_after(buffer)});
+    decisions.sheds.push_back({request_number, reason, retry_after(queue)});
 }
 
-auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds {
+auto Scheduler::expected_service(ModelQueue const& queue, InferenceRequest const& inference) const -> Microseconds {
     // Half of the average service time, so that only requests without a real chance are shed (design 9.5).
-    return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(inference.body.max_tokens) * 0.5);
+    return static_cast<Microseconds>(queue.service_each_token * static_cast<double>(inference.body.max_tokens) * 0.5);
 }
 
 auto Scheduler::enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void {
     if (!inference.in_retry_budget) budget.deposit();
-    auto& buffer = queues[inference.body.model];
-    auto const expected = expected_service(buffer, inference);
-    if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
+    auto& queue = queues[inference.body.model];
+    auto const expected = expected_service(queue, inference);
+    if (queue.waiting.size() > options.depth && queue.drain_rate > 0.01) {
         auto ahead = std::size_t{0};
         auto const mine = QueuedRequest{inference, now, {}, 0};
-        for (auto const& other : buffer.waiting)
+        for (auto const& other : queue.waiting)
             if (score(other, now) >= score(mine, now)) ++ahead;
-        auto const wait = static_cast<Microseconds>(static_cast<double>(ahead) / buffer.drain_rate * 1'000'000.0);
+        auto const wait = static_cast<Microseconds>(static_cast<double>(ahead) / queue.drain_rate * 1'000'000.0);
         if (now + wait + expected > inference.deadline)
-            return shed(decisions, buffer, inference.number, ShedReason::deadline);
+            return shed(decisions, queue, inference.number, ShedReason::deadline);
     }
-    if (buffer.waiting.size() >= buffer_length) {
+    if (queue.waiting.size() >= queue_limit) {
         auto const lowest =
-            std::min_element(buffer.waiting.begin(), buffer.waiting.end(), [&](auto const& left, auto const& right) {
+            std::min_element(queue.waiting.begin(), queue.waiting.end(), [&](auto const& left, auto const& right) {
                 return std::pair(left.inference.rank, score(left, now)) <
                     std::pair(right.inference.rank, score(right, now));
             });
         if (lowest->inference.rank >= inference.rank)
-            return shed(decisions, buffer, inference.number, ShedReason::buffer_full);
-        shed(decisions, buffer, lowest->inference.number, ShedReason::outranked);
-        buffer.waiting.erase(lowest);
+            return shed(decisions, queue, inference.number, ShedReason::buffer_full);
+        shed(decisions, queue, lowest->inference.number, ShedReason::outranked);
+        queue.waiting.erase(lowest);
     }
-    buffer.waiting.push_back({inference, now, {}, 0});
+    queue.waiting.push_back({inference, now, {}, 0});
 }
 
 // Only for a request that may be sent once more (see retry_decision.hpp). It waits up to `budget_wait_limit` for the
@@ -68,9 +68,8 @@
 }
 
 auto Scheduler::withdraw(std::uint64_t request_number) -> bool {
-    for (auto& [model, buffer] : queues)
-        if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.inference.number == request_number; }) >
-            0)
+    for (auto& [model, queue] : queues)
+        if (std::erase_if(queue.waiting, [&](auto const& item) { return item.inference.number == request_number; }) > 0)
             return true;
     return false;
 }
@@ -132,22 +131,22 @@
     return placement;
 }
 
-auto Scheduler::schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions)
+auto Scheduler::schedule_model(std::string const& model, ModelQueue& queue, Microseconds now, Decisions& decisions)
     -> void {
     auto const& pool = load_table.pool(model);
     auto const any_replica = std::any_of(
         pool.begin(), pool.end(), [](auto const* state) { return !state->entry.drain && !state->unreachable; });
-    if (any_replica) buffer.empty_pool_since = 0;
-    else if (buffer.empty_pool_since == 0) buffer.empty_pool_since = now;
+    if (any_replica) queue.empty_pool_since = 0;
+    else if (queue.empty_pool_since == 0) queue.empty_pool_since = now;
     std::vector<std::pair<double, std::size_t>> order;
-    for (auto index = std::size_t{0}; index < buffer.waiting.size(); ++index)
-        if (buffer.waiting[index].awaiting_budget_since == 0 || budget.any())
-            order.emplace_back(-score(buffer.waiting[index], now), index);
+    for (auto index = std::size_t{0}; index < queue.waiting.size(); ++index)
+        if (queue.waiting[index].awaiting_budget_since == 0 || budget.any())
+            order.emplace_back(-score(queue.waiting[index], now), index);
     auto const depth = std::min(options.depth, order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(depth), order.end());
     std::set<std::uint64_t> gone;
     for (auto position = std::size_t{0}; position < depth; ++position) {  // the bounded search of the paper
-        auto& waiting = buffer.waiting[order[position].second];
+        auto& waiting = queue.waiting[order[position].second];
         auto const awaiting_budget = waiting.awaiting_budget_since != 0;
         if (awaiting_budget && !budget.any()) continue;
         auto const* found = choose(waiting, now);
@@ -160,25 +159,25 @@
         gone.insert(waiting.inference.number);
     }
     if (!gone.empty()) {
-        auto const seconds = std::max(0.001, static_cast<double>(now - buffer.drained_at) / 1'000'000.0);
+        auto const seconds = std::max(0.001, static_cast<double>(now - queue.drained_at) / 1'000'000.0);
         auto const rate = static_cast<double>(gone.size()) / seconds;
         auto const weight = std::min(1.0, seconds);
-        buffer.drain_rate = buffer.drained_at == 0 ? rate : buffer.drain_rate * (1.0 - weight) + rate * weight;
-        buffer.drained_at = now;
+        queue.drain_rate = queue.drained_at == 0 ? rate : queue.drain_rate * (1.0 - weight) + rate * weight;
+        queue.drained_at = now;
     }
-    std::erase_if(buffer.waiting, [&](auto const& item) {
+    std::erase_if(queue.waiting, [&](auto const& item) {
         if (gone.contains(item.inference.number)) return true;
-        if (now + expected_service(buffer, item.inference) >= item.inference.deadline) {
-            shed(decisions, buffer, item.inference.number, ShedReason::deadline);
+        if (now + expected_service(queue, item.inference) >= item.inference.deadline) {
+            shed(decisions, queue, item.inference.number, ShedReason::deadline);
             return true;
         }
         if (item.awaiting_budget_since != 0 && !budget.any() &&
             now - item.awaiting_budget_since > options.budget_wait_limit) {
-            shed(decisions, buffer, item.inference.number, ShedReason::budget);
+            shed(decisions, queue, item.inference.number, ShedReason::budget);
             return true;
         }
-        if (buffer.empty_pool_since != 0 && now - buffer.empty_pool_since > options.empty_pool_limit) {
-            shed(decisions, buffer, item.inference.number, ShedReason::no_replica);
+        if (queue.empty_pool_since != 0 && now - queue.empty_pool_since > options.empty_pool_limit) {
+            shed(decisions, queue, item.inference.number, ShedReason::no_replica);
             return true;
         }
         return false;
@@ -187,16 +186,15 @@
 
 auto Scheduler::schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
     if (proof_age > proof_shed_limit) {
-        for (auto& [model, buffer] : queues) {
-            for (auto const& item : buffer.waiting)
-                shed(decisions, buffer, item.inference.number, ShedReason::not_fresh);
-            buffer.waiting.clear();
+        for (auto& [model, queue] : queues) {
+            for (auto const& item : queue.waiting) shed(decisions, queue, item.inference.number, ShedReason::not_fresh);
+            queue.waiting.clear();
         }
         return;
     }
     if (proof_age > proof_limit) return;  // requests stay queued; running ones go on
-    for (auto& [model, buffer] : queues)
-        if (!buffer.waiting.empty()) schedule_model(model, buffer, now, decisions);
+    for (auto& [model, queue] : queues)
+        if (!queue.waiting.empty()) schedule_model(model, queue, now, decisions);
 }
 
 auto Scheduler::finished(
@@ -205,10 +203,10 @@
     (void)now;
     load_table.release(replica, inference.number);
     if (!answered) return;
-    auto& buffer = queues[inference.body.model];
+    auto& queue = queues[inference.body.model];
     auto const each =
         static_cast<double>(service) / static_cast<double>(std::max<std::int64_t>(1, inference.body.max_tokens));
-    buffer.service_each_token = buffer.service_each_token == 0.0 ? each : buffer.service_each_token * 0.9 + each * 0.1;
+    queue.service_each_token = queue.service_each_token == 0.0 ? each : queue.service_each_token * 0.9 + each * 0.1;
 }
 
 }  // namespace dockrock
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -101,7 +101,7 @@
     SchedulingOptions options;
     ReplicaLoadTable load_table;
     std::map<std::string, ModelQueue> queues;
-    std::size_t buffer_length = 256;
+    std::size_t queue_limit = 256;
     RetryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: nothing is placed
     Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: all queued requests are shed
@@ -147,11 +147,11 @@
     auto waiting_count() const -> std::size_t;
     // Queued requests are placed in falling order of this.
     auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
-    auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
-    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason) -> void;
+    auto retry_after(ModelQueue const& queue) const -> std::int64_t;
+    auto shed(Decisions& decisions, ModelQueue const& queue, std::uint64_t request_number, ShedReason reason) -> void;
 
    private:
-    auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
+    auto schedule_model(std::string const& model, ModelQueue& queue, Microseconds now, Decisions& decisions) -> void;
     auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
     auto least_requests(
@@ -169,7 +169,7 @@
         -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds;
+    auto expected_service(ModelQueue const& queue, InferenceRequest const& inference) const -> Microseconds;
 };
 
 }  // namespace dockrock
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -117,7 +117,7 @@
 
 TEST_CASE("a full queue sheds the lowest rank first, and requests past their deadline are shed") {
     auto scheduler = make_scheduler(1, 1, 10);  // nothing fits
-    scheduler.buffer_length = 2;
+    scheduler.queue_limit = 2;
     auto low = make_inference(1);
     low.rank = 1;
     auto middle = make_inference(2);
--- a/tests/simulation/fleet.cpp
+++ b/tests/simulation/fleet.cpp
@@ -73,7 +73,7 @@
     plane.snapshot = make_snapshot(world.nodes[index]->control, *plane.snapshot);
     plane.scheduler.load_table.take_list(plane.snapshot->list);
     auto const length = plane.snapshot->rules->checked.configuration.limits.buffer_length;
-    plane.scheduler.buffer_length = static_cast<std::size_t>(length);
+    plane.scheduler.queue_limit = static_cast<std::size_t>(length);
     schedule(index);
 }
 
