--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -200,7 +200,7 @@
     auto parts_address(std::string const& name) -> std::string;
     auto parts_reported(CacheBatch batch, bool restarted) -> void;
     auto take_cache_batch(CacheBatch const& batch, bool forget) -> void;
-    auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
+    auto take_feed(std::vector<CacheFeed::Taken> const& reported) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
     auto stop_gracefully() -> awaitable<void>;
--- a/source/process/node_listen.cpp
+++ b/source/process/node_listen.cpp
@@ -17,11 +17,11 @@
 // Retries an address that a former process still holds, for as long as such a process may take to stop.
 auto Node::take_addresses() -> leaf::result<void> {
     auto const limit = clock_now() + settings.bounds.stop;
-    for (auto told = false;; told = true) {
+    for (auto logged = false;; logged = true) {
         auto const failure = listen_everywhere();
         if (!failure) return {};
         if (!failure->in_use || clock_now() >= limit) return leaf::new_error(StartFailure{failure->what});
-        if (!told)
+        if (!logged)
             write_log(
                 Level::warning, "address-waited-for",
                 fields("what", failure->what, "limit_milliseconds", settings.bounds.stop / one_millisecond));
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -18,10 +18,10 @@
 constexpr Microseconds members_met = 3 * one_second / 2;         // a node that has just started knows few members yet
 constexpr Microseconds catch_up_pause = 20 * one_millisecond;    // between two sources
 
-auto batch_of(std::string const& name, bool store, std::uint64_t since, CacheEvents const& told) -> CacheBatch {
-    auto batch = CacheBatch{name, store, told.life, since, told.next, told.gap, {}, {}};
+auto batch_of(std::string const& name, bool store, std::uint64_t since, CacheEvents const& events) -> CacheBatch {
+    auto batch = CacheBatch{name, store, events.life, since, events.next, events.gap, {}, {}};
     std::vector<CacheChange> changes;
-    for (auto const& event : told.events) {
+    for (auto const& event : events.events) {
         auto const salt = read_salt(event.salt);
         if (!salt) continue;
         auto place = std::find(batch.weights.begin(), batch.weights.end(), salt->second);
@@ -128,27 +128,27 @@
         ++counters.part_calls;
         auto const ask = form->events_call(since, parts_wait);
         auto const answer = co_await connection.call(address, ask, parts_wait + one_second / 2);
-        auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
-        if (!told && store) {  // a batch without an incarnation: the store does not answer
+        auto const events = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
+        if (!events && store) {  // a batch without an incarnation: the store does not answer
             since = 0;
             life.clear();
             parts_reported(CacheBatch{name, store, {}, 0, 0, true, {}, {}}, true);
         }
-        if (!told) {
+        if (!events) {
             co_await pause(store ? one_second / 2 : one_second);
             continue;
         }
-        auto const restarted = told->life != life && !life.empty();
+        auto const restarted = events->life != life && !life.empty();
         if (restarted && since != 0) {  // the source's event numbers start again
             since = 0;
-            life = told->life;
-            parts_reported(batch_of(name, store, 0, CacheEvents{told->life, 0, true, {}}), true);
+            life = events->life;
+            parts_reported(batch_of(name, store, 0, CacheEvents{events->life, 0, true, {}}), true);
             continue;
         }
-        if (told->next != since || told->gap || life.empty())
-            parts_reported(batch_of(name, store, since, *told), restarted);
-        since = told->next;
-        life = told->life;
+        if (events->next != since || events->gap || life.empty())
+            parts_reported(batch_of(name, store, since, *events), restarted);
+        since = events->next;
+        life = events->life;
         co_await pause(settings.front_address.empty() ? shared_interval : parts_interval);
     }
 }
@@ -165,9 +165,9 @@
         ++counters.part_calls;
         auto const ask = form->events_call(0, parts_wait);
         auto const answer = co_await http_call(source->second.address, ask, parts_wait + one_second / 2);
-        auto const told = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
-        if (!told) continue;
-        in_control([this, batch = batch_of(name, source->second.store, 0, *told)] {
+        auto const events = answer.status == 200 ? form->read_events(answer.body) : std::nullopt;
+        if (!events) continue;
+        in_control([this, batch = batch_of(name, source->second.store, 0, *events)] {
             if (control.cache_caught_up(batch)) take_cache_batch(batch, true);
         });
     }
@@ -180,8 +180,8 @@
 }
 
 // Applies the batches that came through the relay.
-auto Node::take_feed(std::vector<CacheFeed::Taken> const& told) -> void {
-    for (auto const& [batch, gap] : told) {
+auto Node::take_feed(std::vector<CacheFeed::Taken> const& reported) -> void {
+    for (auto const& [batch, gap] : reported) {
         take_cache_batch(batch, gap || batch.anew);
         if (!gap || batch.anew) continue;
         auto const guard = std::lock_guard(loops_lock);
--- a/source/ticket/replica_load_room.cpp
+++ b/source/ticket/replica_load_room.cpp
@@ -78,15 +78,15 @@
 }
 
 auto ReplicaLoadTable::take_remote_loads(
-    std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void {
+    std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> reported, Microseconds at) -> void {
     if (digest.node == 0) digest.node = ++reporting_nodes;
     auto const was_active = !digest.replicas.empty();
     digest.at = at;
     for (auto const& [name, item] : digest.replicas)
-        if (!told.contains(name))
+        if (!reported.contains(name))
             if (auto const found = replicas.find(name); found != replicas.end())
                 remove_remote_load(found->second, digest.node);
-    digest.replicas = std::move(told);
+    digest.replicas = std::move(reported);
     for (auto const& [name, item] : digest.replicas)
         if (auto const found = replicas.find(name); found != replicas.end())
             add_remote_load(found->second, node, digest, item);
--- a/source/ticket/replica_load_summed.cpp
+++ b/source/ticket/replica_load_summed.cpp
@@ -11,34 +11,34 @@
 }
 
 auto ReplicaLoadTable::make_load_report(std::uint64_t number, Microseconds now) -> std::string {
-    Loads told;
+    Loads reported;
     for (auto& [name, item] : own_load(now))
-        told.push_back(
+        reported.push_back(
             {std::move(name),
              {item.count, item.slots, item.memory, item.recent, 0, 1, 0, 0,
               (item.unread + tokens_in_unread - 1) / tokens_in_unread, item.ended, item.failed}});
-    auto text = write_loads(told);
-    own_reports.emplace_back(number, std::move(told));
+    auto text = write_loads(reported);
+    own_reports.emplace_back(number, std::move(reported));
     if (own_reports.size() > own_reports_limit) own_reports.pop_front();
     return text;
 }
 
 // Takes the sum over all nodes and subtracts this node's own report that is in it.
-auto ReplicaLoadTable::take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void {
+auto ReplicaLoadTable::take_sum(std::string const& relay, LoadSumUpdate const& update, Microseconds now) -> void {
     auto const same = relay == summed.relay;
-    if (same && told.number < summed.number && now - summed.at <= options.digest_old) return;  // arrived out of order
-    if (told.base != 0 && (!same || told.base != summed.number)) return;  // its base sum isn't held
-    auto loads = told.base == 0 ? read_loads(told.body) : apply_loads_difference(summed.loads, told.body);
+    if (same && update.number < summed.number && now - summed.at <= options.digest_old) return;  // arrived out of order
+    if (update.base != 0 && (!same || update.base != summed.number)) return;  // its base sum isn't held
+    auto loads = update.base == 0 ? read_loads(update.body) : apply_loads_difference(summed.loads, update.body);
     if (!loads) return;
     summed.relay = relay;
-    summed.number = told.number;
-    summed.echo = told.echo;
+    summed.number = update.number;
+    summed.echo = update.echo;
     summed.at = now;
     summed.loads = std::move(*loads);
-    auto const own =
-        std::find_if(own_reports.begin(), own_reports.end(), [&](auto const& item) { return item.first == told.echo; });
+    auto const own = std::find_if(
+        own_reports.begin(), own_reports.end(), [&](auto const& item) { return item.first == update.echo; });
     auto const counted = own != own_reports.end() && !own->second.empty();
-    summed.nodes = std::max<std::int64_t>(0, told.nodes - (counted ? 1 : 0));
+    summed.nodes = std::max<std::int64_t>(0, update.nodes - (counted ? 1 : 0));
     auto item = summed.loads.begin();
     for (auto& [name, state] : replicas) {  // both are sorted by name
         while (item != summed.loads.end() && item->name < name) ++item;
@@ -48,7 +48,7 @@
         auto const* mine = find_load(own->second, name);
         if (mine == nullptr) continue;
         add_load(state.summed, *mine, -1);
-        state.summed.aged = std::max<std::int64_t>(0, state.summed.aged - mine->recent * told.echo_age);
+        state.summed.aged = std::max<std::int64_t>(0, state.summed.aged - mine->recent * update.echo_age);
     }
     update_health(now);
 }
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -76,19 +76,19 @@
     if (number <= digest.number && digest.number != 0) return;
     auto const parsed = parse_json(body);
     if (!parsed) return;
-    std::map<std::string, ReplicaLoad> told;
+    std::map<std::string, ReplicaLoad> reported;
     Problems problems;
-    read_json(*parsed, told, "", problems);
+    read_json(*parsed, reported, "", problems);
     if (!problems.empty()) return;
     digest.number = number;
-    take_remote_loads(node, digest, std::move(told), now);
+    take_remote_loads(node, digest, std::move(reported), now);
     drop_lost_digests(now);
     update_health(now);
 }
 
 // This node's own load on each replica, as reported to other nodes.
 auto ReplicaLoadTable::own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>> {
-    std::vector<std::pair<std::string, ReplicaLoad>> told;
+    std::vector<std::pair<std::string, ReplicaLoad>> loads;
     for (auto& [name, state] : replicas) {
         if (!state.recent.empty()) std::erase_if(state.recent, [&](auto at) { return now - at > one_second; });
         state.unreported_placements = 0;
@@ -96,7 +96,7 @@
         if (state.placed.empty() && state.recent.empty() && state.outcomes.empty()) continue;
         auto const failed = std::count_if(
             state.outcomes.begin(), state.outcomes.end(), [](auto const& outcome) { return outcome.failed; });
-        told.emplace_back(
+        loads.emplace_back(
             name,
             ReplicaLoad{
                 static_cast<std::int64_t>(state.placed.size()), state.placed_slots, state.placed_memory,
@@ -105,13 +105,13 @@
     }
     drop_lost_digests(now);
     ++digest_number;
-    return told;
+    return loads;
 }
 
 auto ReplicaLoadTable::make_digest(Microseconds now) -> std::string {
-    json::object told;
-    for (auto const& [name, item] : own_load(now)) told[name] = write_json(item);
-    return json::serialize(told);
+    json::object loads;
+    for (auto const& [name, item] : own_load(now)) loads[name] = write_json(item);
+    return json::serialize(loads);
 }
 
 auto ReplicaLoadTable::place(
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -192,7 +192,7 @@
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
     auto make_digest(Microseconds now) -> std::string;
     auto make_load_report(std::uint64_t number, Microseconds now) -> std::string;
-    auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
+    auto take_sum(std::string const& relay, LoadSumUpdate const& update, Microseconds now) -> void;
     // `unread`: prompt tokens that the replica has to prefill itself.
     auto place(
         std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
@@ -222,7 +222,7 @@
     auto add_reported_loads(std::string const& name, ReplicaState& state) const -> void;
     auto update_health(Microseconds now) -> void;
     auto take_remote_loads(
-        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void;
+        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> reported, Microseconds at) -> void;
     auto drop_lost_digests(Microseconds now) -> void;
     auto make_pools() -> void;
     auto own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>>;
