--- a/source/process/node.cpp
+++ b/source/process/node.cpp
@@ -22,7 +22,7 @@
     // A disk that is not loaded in time is taken over later; until then this node has no duties.
     auto const held = core ? await_disk() : std::nullopt;
     auto const blank = DiskHolding{fresh_identity(), core ? 1 : static_cast<std::uint64_t>(started_at), false, {}};
-    auto const& [identity, incarnation, had_state, saved_parts] = held ? *held : blank;
+    auto const& [identity, incarnation, had_state, saved_partitions] = held ? *held : blank;
     auto const given = ControlSettings{
         settings.control_address,
         settings.http_address,
@@ -36,8 +36,8 @@
         settings.resting};
     auto device = std::random_device();
     control.start(
-        given, identity, incarnation, (static_cast<std::uint64_t>(device()) << 32U) ^ device(), saved_parts, had_state,
-        started_at);
+        given, identity, incarnation, (static_cast<std::uint64_t>(device()) << 32U) ^ device(), saved_partitions,
+        had_state, started_at);
     for (auto index = std::size_t{0}; index < partition_count; ++index)
         control.partitions[index].apply =
             index == configuration_partition ? ApplyChange(apply_configuration) : ApplyChange(apply_service);
@@ -65,7 +65,7 @@
         });
     });
     if (!problem.empty()) return leaf::new_error(StartFailure{"cannot hear other nodes: " + problem});
-    open_disk_gate();
+    allow_disk_takeover();
     write_log(
         Level::information, "started",
         fields(
@@ -118,7 +118,7 @@
     if (!output.cache_batches.empty()) take_feed(output.cache_batches);
     update_metrics.take(control.update_counts, output.notes);
     for (auto const& note : output.notes)
-        if (!note.late) transport.doubt(note.whom, now);
+        if (!note.late) transport.request_timed_out(note.whom, now);
     loss_tolerance.update(control, now);
     auto const first_heard = protocol != nullptr && weights_guard.proven != WeightsGuard::proven_partitions(control);
     if (output.snapshot_changed || first_heard) publish_snapshot();
@@ -147,7 +147,7 @@
     if (protocol != nullptr) take_services(*fresh);
     table.scheduler.load_table.take_list(fresh->list);
     if (protocol != nullptr) take_replica_weights(*fresh);
-    table.scheduler.buffer_length = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
+    table.scheduler.queue_limit = static_cast<std::size_t>(fresh->rules->checked.configuration.limits.buffer_length);
     table.scheduler.store_address = fresh->list.store ? fresh->list.store->address : "";
     schedule_locked(clock_now());
 }
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -62,9 +62,8 @@
     bool control_listens = false;
     bool stop_asked = false;  // a signal requested the stop during the start
     std::atomic<bool> stopping{false};
-    std::atomic<Microseconds> admission_ends{
-        0};                            // when stopping: requests read later than this are refused; 0: no limit
-    std::atomic<bool> closing{false};  // stopping, and the notice period has passed: no new connections
+    std::atomic<Microseconds> admission_ends{0};  // when stopping: requests read later are refused; 0: no limit
+    std::atomic<bool> closing{false};             // stopping, and the notice period has passed: no new connections
     std::atomic<bool> finished{false};
     std::atomic<bool> resting_now{false};
     std::atomic<bool> disk_loaded{false};  // the data folder's contents are known and written back
@@ -80,8 +79,8 @@
     Microseconds started_at = 0;
     std::map<std::uint64_t, std::function<void(ClaimDone)>> claim_waiters;  // inside control_work
     std::map<std::uint64_t, std::function<void(CallDone)>> call_waiters;    // inside control_work
-    std::array<std::uint64_t, partition_count> logged_epochs{};             // this and the next two inside control_work
-    std::array<bool, partition_count> logged_owned{};
+    std::array<std::uint64_t, partition_count> logged_terms{};              // this and the next two inside control_work
+    std::array<bool, partition_count> logged_leased{};
     bool load_relayed = false;                 // same value as in the table
     RestingPolicy resting;                     // inside control_work
     std::atomic<Microseconds> awake_until{0};  // set when a request wakes this resting node
@@ -109,7 +108,7 @@
     std::condition_variable disk_ready;       // from the disk thread to the start
     std::vector<Save> disk_queue;             // this and the next three under disk_lock
     std::optional<DiskHolding> disk_holding;  // loaded and not yet taken over
-    bool disk_gate_open = false;              // the start has completed
+    bool disk_takeover_allowed = false;       // the start has completed
     bool disk_stop = false;
 
     auto start() -> leaf::result<void>;
@@ -124,7 +123,7 @@
     WeightsGuard weights_guard;                                // under table.lock
     auto take_replica_weights(Snapshot const& fresh) -> void;  // under table.lock
     auto tick_control() -> void;
-    auto log_parts(Microseconds now) -> void;
+    auto log_partitions(Microseconds now) -> void;
     auto report_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void;  // under table.lock
     auto judge_load(Microseconds now) -> void;  // decides whether load goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
@@ -155,8 +154,8 @@
     auto try_disk(std::function<bool()> const& work) -> bool;
     auto load_disk() -> std::optional<DiskHolding>;
     auto await_disk() -> std::optional<DiskHolding>;
-    auto open_disk_gate() -> void;
-    auto hand_in(DiskHolding holding) -> bool;
+    auto allow_disk_takeover() -> void;
+    auto deliver_disk_state(DiskHolding holding) -> bool;
     auto take_disk(DiskHolding const& holding) -> void;
     auto next_saves() -> std::vector<Save>;
     auto report_saves(std::vector<Save> const& batch, bool good) -> void;
@@ -201,10 +200,10 @@
     auto parts_address(std::string const& name) -> std::string;
     auto parts_reported(CacheBatch batch, bool restarted) -> void;
     auto take_cache_batch(CacheBatch const& batch, bool forget) -> void;
-    auto take_feed(std::vector<CacheFeed::Taken> const& told) -> void;
+    auto take_feed(std::vector<CacheFeed::Taken> const& reported) -> void;
     auto catch_up_loop() -> awaitable<void>;
     auto next_to_catch_up() -> std::string;
-    auto stop_politely() -> awaitable<void>;
+    auto stop_gracefully() -> awaitable<void>;
     // Installs handlers: from now on SIGTERM, SIGINT and SIGHUP no longer end the process by default.
     auto await_signals() -> void;
     auto await_stop() -> void;
@@ -212,11 +211,11 @@
     auto begin_stop() -> void;
     auto take_limits() -> void;
     auto reload() -> void;
-    auto look_at_settings(Microseconds now) -> void;
+    auto poll_settings_file(Microseconds now) -> void;
     auto metrics_text(Microseconds now) -> std::string;
 
     std::filesystem::file_time_type settings_time;  // used only in tick_loop once running
-    Microseconds settings_looked = 0;
+    Microseconds settings_polled_at = 0;
     std::set<std::string> report_loops;             // under loops_lock: names that a loop polls or reads
     std::map<std::string, CacheSource> parts_read;  // under loops_lock: the cache event sources that this node reads
     std::set<std::string> parts_missed;             // under loops_lock: sources whose events arrived with a gap
--- a/source/process/node_disk.cpp
+++ b/source/process/node_disk.cpp
@@ -11,11 +11,11 @@
 namespace dockrock {
 
 namespace {
-constexpr auto start_patience = std::chrono::milliseconds(600);  // after this the node starts without its disk
-constexpr auto first_pause = std::chrono::milliseconds(100);     // between retries on a failing disk, doubled up to
+constexpr auto start_timeout = std::chrono::milliseconds(600);  // after this the node starts without its disk
+constexpr auto first_pause = std::chrono::milliseconds(100);    // between retries on a failing disk, doubled up to
 constexpr auto longest_pause = std::chrono::milliseconds(1'000);
-constexpr auto end_patience = std::chrono::milliseconds(300);  // at a stop, for a write in progress
-constexpr Microseconds stall_limit = 600 * one_millisecond;  // of one write or sync, the limit that the partitions use
+constexpr auto end_timeout = std::chrono::milliseconds(300);  // at a stop, for a write in progress
+constexpr Microseconds stall_limit = 600 * one_millisecond;   // of one write or sync, the limit that the partitions use
 }  // namespace
 
 auto fresh_identity() -> std::string {
@@ -86,28 +86,28 @@
     return holding;
 }
 
-// What the disk holds, if it is loaded within start_patience.
+// What the disk holds, if it is loaded within start_timeout.
 auto Node::await_disk() -> std::optional<DiskHolding> {
     auto guard = std::unique_lock(disk_lock);
-    disk_ready.wait_for(guard, start_patience, [&] { return disk_holding.has_value(); });
+    disk_ready.wait_for(guard, start_timeout, [&] { return disk_holding.has_value(); });
     return std::exchange(disk_holding, std::nullopt);
 }
 
 // The start has completed: from now on the disk's state is taken over as soon as it is loaded.
-auto Node::open_disk_gate() -> void {
+auto Node::allow_disk_takeover() -> void {
     auto const guard = std::lock_guard(disk_lock);
-    disk_gate_open = true;
+    disk_takeover_allowed = true;
     disk_signal.notify_all();
 }
 
 // Hands the loaded state to the start, if it still waits, or to the control state machines of a node
 // that started without it. False if the node stops first.
-auto Node::hand_in(DiskHolding holding) -> bool {
+auto Node::deliver_disk_state(DiskHolding holding) -> bool {
     auto guard = std::unique_lock(disk_lock);
     disk_holding = std::move(holding);
     disk_loaded = true;
     disk_ready.notify_all();
-    disk_signal.wait(guard, [&] { return disk_stop || disk_gate_open; });
+    disk_signal.wait(guard, [&] { return disk_stop || disk_takeover_allowed; });
     if (disk_stop) return false;
     auto late = std::exchange(disk_holding, std::nullopt);
     guard.unlock();
@@ -163,7 +163,7 @@
 // While the disk is stalled, changes are not acknowledged; serving goes on.
 auto Node::run_disk() -> void {
     auto holding = load_disk();
-    if (!holding || !hand_in(std::move(*holding))) return;
+    if (!holding || !deliver_disk_state(std::move(*holding))) return;
     for (auto batch = next_saves(); !batch.empty(); batch = next_saves())
         if (!write_saves(std::move(batch))) return;
 }
@@ -175,7 +175,7 @@
         disk_stop = true;
         disk_signal.notify_all();
     }
-    if (disk_ended.get_future().wait_for(end_patience) != std::future_status::ready) {
+    if (disk_ended.get_future().wait_for(end_timeout) != std::future_status::ready) {
         write_log(Level::warning, "disk-still-busy", fields("effect", "what is being written was not acknowledged"));
         return disk_thread.detach();
     }
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -19,31 +19,31 @@
 auto Node::tick_control() -> void {
     auto const now = clock_now();
     apply_output(control.tick(now));
-    log_parts(now);
+    log_partitions(now);
     log_disk(now);
     judge_resting(now);
     judge_load(now);
     tick_waiting = false;
 }
 
-auto Node::log_parts(Microseconds now) -> void {
+auto Node::log_partitions(Microseconds now) -> void {
     for (auto index = std::size_t{0}; index < partition_count; ++index) {
         auto const number = static_cast<int>(index);
         auto const name = std::string(partition_names[index]);
         auto const& record = control.best_record(number);
-        if (record.term != logged_epochs[index])
+        if (record.term != logged_terms[index])
             write_log(
                 Level::information, "record",
                 {{"partition", name},
                  {"term", record.term},
                  {"leader", record.leader},
                  {"followers", write_json(record.followers)}});
-        logged_epochs[index] = record.term;
+        logged_terms[index] = record.term;
         auto const owned = control.leads(number, now);
-        if (owned != logged_owned[index])
+        if (owned != logged_leased[index])
             write_log(
                 Level::information, owned ? "lease-held" : "lease-ended", {{"partition", name}, {"term", record.term}});
-        logged_owned[index] = owned;
+        logged_leased[index] = owned;
     }
 }
 
@@ -65,7 +65,7 @@
         ++counters.wakeups;
         if (!tick_waiting.exchange(true)) in_control([this] { tick_control(); });
         auto const now = clock_now();
-        look_at_settings(now);
+        poll_settings_file(now);
         auto guard = std::unique_lock(table.lock);
         if (now >= weights_guard.next_check_at) take_replica_weights(*snapshot.load());
         if (table.scheduler.waiting_count() > 0) schedule_locked(now);
@@ -141,7 +141,7 @@
 }
 
 // Graceful stop: report not ready, hand over leader duties, finish the open streams, then exit (design 13).
-auto Node::stop_politely() -> awaitable<void> {
+auto Node::stop_gracefully() -> awaitable<void> {
     set_process_phase(ProcessPhase::stopping);
     write_log(Level::information, "stopping", fields("open_tickets", open_inferences.load()));
     auto timer = asio::steady_timer(co_await asio::this_coro::executor);
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -38,6 +38,7 @@
     std::string kind;  // "kept", "dropped" or "cleared"
     std::string chain;
 };
+// What a replica reports of itself when asked: process, weights, free memory in tokens, and prefix cache events.
 struct ReplicaReport {
     std::string incarnation;
     std::string weights;
@@ -65,6 +66,7 @@
     std::int64_t failed = 0;
 };
 
+// All that this node knows of one replica.
 struct ReplicaState {
     ReplicaEntry entry;
     struct Placed {
@@ -139,6 +141,7 @@
     std::string_view body;
 };
 
+// The state of every listed replica, and the capacity and memory that are free on each.
 struct ReplicaLoadTable {
     SchedulingOptions options;
     std::string self;
@@ -189,7 +192,7 @@
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
     auto make_digest(Microseconds now) -> std::string;
     auto make_load_report(std::uint64_t number, Microseconds now) -> std::string;
-    auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
+    auto take_sum(std::string const& relay, LoadSumUpdate const& update, Microseconds now) -> void;
     // `unread`: prompt tokens that the replica has to prefill itself.
     auto place(
         std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
@@ -219,7 +222,7 @@
     auto add_reported_loads(std::string const& name, ReplicaState& state) const -> void;
     auto update_health(Microseconds now) -> void;
     auto take_remote_loads(
-        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void;
+        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> reported, Microseconds at) -> void;
     auto drop_lost_digests(Microseconds now) -> void;
     auto make_pools() -> void;
     auto own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>>;
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -40,12 +40,12 @@
     std::int64_t cached_tokens = 0;
     FetchPlan fetch;
     // State at the time of the decision, for logs and estimates.
-    std::int64_t tokens_to_read = 0;  // prompt tokens to prefill: neither cached there nor fetched
-    std::int64_t outstanding = 0;     // tokens of other prompts to be prefilled there first
-    std::int64_t running = 0;         // requests there
-    std::int64_t best_cached = 0;     // longest prefix cached by any replica of these weights, in tokens
-    std::optional<Filter> held_by;    // the filter that last kept it queued
-    bool short_prompt = false;        // prefill so short that the request goes first at its replica
+    std::int64_t tokens_to_read = 0;        // prompt tokens to prefill: neither cached there nor fetched
+    std::int64_t outstanding = 0;           // tokens of other prompts to be prefilled there first
+    std::int64_t running = 0;               // requests there
+    std::int64_t best_cached = 0;           // longest prefix cached by any replica of these weights, in tokens
+    std::optional<Filter> blocking_filter;  // the filter that last kept it queued
+    bool short_prompt = false;              // prefill so short that the request goes first at its replica
 };
 // The longest cached prefixes of a prompt for one version of the weights, in tokens.
 struct CachedPrefixes {
@@ -58,7 +58,7 @@
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
-// The decision to give a queued request up.
+// The decision to drop a request from its queue without placing it.
 struct Shed {
     std::uint64_t request_number = 0;
     ShedReason reason = ShedReason::deadline;
@@ -86,14 +86,14 @@
     Microseconds since = 0;
     std::set<std::string> avoid;             // replicas that refused it or failed
     Microseconds awaiting_budget_since = 0;  // a retry that waits for the retry budget since then; 0: none
-    std::optional<Filter> held_by;
+    std::optional<Filter> blocking_filter;
 };
 // The queue of one model and its measured rates.
 struct ModelQueue {
     std::vector<QueuedRequest> waiting;
     double drain_rate = 0.0;  // requests placed per second, while any are queued
     Microseconds drained_at = 0;
-    double service_each_token = 0.0;  // microseconds per output token
+    double service_each_token = 0.0;  // microseconds per token of max_tokens
     Microseconds empty_pool_since = 0;
 };
 
@@ -101,7 +101,7 @@
     SchedulingOptions options;
     ReplicaLoadTable load_table;
     std::map<std::string, ModelQueue> queues;
-    std::size_t buffer_length = 256;
+    std::size_t queue_limit = 256;
     RetryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: nothing is placed
     Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: all queued requests are shed
@@ -127,13 +127,17 @@
     auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
     // Queues a request. Sheds it if its deadline can't be met; if the queue is full, sheds it or one of lower rank.
     auto enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void;
+    // Queues a request whose try ended without its having run, or that may run again. `avoid`: that try's replica.
     auto enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void;
     // A fetch of prefix parts ended after `took`; `tokens`: what it brought.
     auto record_fetch(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
+    // Removes a queued request; returns whether there was one.
     auto withdraw(std::uint64_t request_number) -> bool;
+    // Places or sheds queued requests. `proof_age`: time since the configuration was last proved current.
     auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
+    // A request ended at its replica: releases its place. `service`: time from sending to the end.
     auto finished(
         std::string const& replica, InferenceRequest const& inference, Microseconds service, Microseconds now,
         bool answered) -> void;
@@ -143,11 +147,11 @@
     auto waiting_count() const -> std::size_t;
     // Queued requests are placed in falling order of this.
     auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
-    auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
-    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason) -> void;
+    auto retry_after(ModelQueue const& queue) const -> std::int64_t;
+    auto shed(Decisions& decisions, ModelQueue const& queue, std::uint64_t request_number, ShedReason reason) -> void;
 
    private:
-    auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
+    auto schedule_model(std::string const& model, ModelQueue& queue, Microseconds now, Decisions& decisions) -> void;
     auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
     auto least_requests(
@@ -165,7 +169,7 @@
         -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds;
+    auto expected_service(ModelQueue const& queue, InferenceRequest const& inference) const -> Microseconds;
 };
 
 }  // namespace dockrock
