--- a/tests/invariants_leader_test.cpp
+++ b/tests/invariants_leader_test.cpp
@@ -82,14 +82,14 @@
     auto const partition = leader();
     auto view = PartitionView();
     auto watch = PartitionWatch();
-    CHECK(watch.look(partition, view, self, now));
+    CHECK(watch.check(partition, view, self, now));
     {
         auto const expected = ExpectedViolations{Invariant::one_lease};
         view.record = Record{3, "b", {"a"}, {"a", "b", "c", "d"}};
-        CHECK_FALSE(watch.look(partition, view, self, now));
+        CHECK_FALSE(watch.check(partition, view, self, now));
     }
     CHECK(watch.other_holder_at == now);
     auto const expected = ExpectedViolations{Invariant::one_lease};
     view.record = Record();
-    CHECK_FALSE(watch.look(partition, view, self, now));
+    CHECK_FALSE(watch.check(partition, view, self, now));
 }
--- a/tests/invariants_test.cpp
+++ b/tests/invariants_test.cpp
@@ -139,16 +139,16 @@
     auto view = PartitionView();
     auto const partition = Partition();
     view.copy = {{1, 2}, std::string(100, 'a'), {}};
-    CHECK(watch.look(partition, view, "self", 0));
-    CHECK(watch.look(partition, view, "self", 1));
+    CHECK(watch.check(partition, view, "self", 0));
+    CHECK(watch.check(partition, view, "self", 1));
     {
         auto const expected = ExpectedViolations{Invariant::configuration_never_back};
         view.copy.document = std::string(200, 'b');
-        CHECK_FALSE(watch.look(partition, view, "self", 2));
+        CHECK_FALSE(watch.check(partition, view, "self", 2));
     }
     auto const expected = ExpectedViolations{Invariant::configuration_never_back};
     view.copy.sequence = {1, 1};
-    CHECK_FALSE(watch.look(partition, view, "self", 3));
+    CHECK_FALSE(watch.check(partition, view, "self", 3));
 }
 
 TEST_CASE(
