--- a/source/connection/metrics.cpp
+++ b/source/connection/metrics.cpp
@@ -83,12 +83,13 @@
     line("message_memory_bytes", message_memory.used());
     line("message_memory_refusals_total", message_memory.refusals());
     auto const guard = std::lock_guard(table.lock);
-    line("waiting_tickets", table.granting.waiting_count());
-    line("extra_tries_total", table.granting.extra_tries);
+    line("waiting_tickets", table.scheduler.waiting_count());
+    line("extra_tries_total", table.scheduler.extra_tries);
     for (auto index = std::size_t{0}; index < filter_names.size(); ++index)
-        line("filter_total{filter=\"" + std::string(filter_names[index]) + "\"}", table.granting.filtered[index]);
+        line("filter_total{filter=\"" + std::string(filter_names[index]) + "\"}", table.scheduler.filtered[index]);
     for (auto index = std::size_t{0}; index < shed_names.size(); ++index)
-        line("shed_reason_total{reason=\"" + std::string(shed_names[index]) + "\"}", table.granting.shed_counts[index]);
+        line(
+            "shed_reason_total{reason=\"" + std::string(shed_names[index]) + "\"}", table.scheduler.shed_counts[index]);
     return text;
 }
 
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -41,7 +41,7 @@
     output_seen = true;
     if (may_be_recalled()) reset_on_close(false);
     auto const took = now - answer.trace.sent_at;
-    node.table.with([&](Scheduler& granting) { granting.first_output(course.placement, course.ticket, took); });
+    node.table.with([&](Scheduler& scheduler) { scheduler.first_output(course.placement, course.ticket, took); });
 }
 
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -139,7 +139,7 @@
     auto may_refuse(Microseconds proven) const -> bool;
     auto note_refusal(int status, Sequence const& sequence) -> void;
     auto take_proof() -> void;
-    auto proof_limit() const -> Microseconds { return table.granting.proof_limit; }  // fixed at start
+    auto proof_limit() const -> Microseconds { return table.scheduler.proof_limit; }  // fixed at start
     auto proof_age(Microseconds now) const -> Microseconds { return now - proven_at.load(); }
     auto ready(Microseconds now) const -> bool;
     auto match_locked(Microseconds now) -> void { table.match_locked(now, proof_age(now)); }
--- a/source/process/node_load.cpp
+++ b/source/process/node_load.cpp
@@ -7,7 +7,7 @@
 
 // Holds the table's lock on entry; it is let go before the control side is entered.
 auto Node::tell_load(Microseconds now, std::unique_lock<std::mutex> guard) -> void {
-    auto& burden = table.granting.burden;
+    auto& burden = table.scheduler.burden;
     auto const number = static_cast<std::uint64_t>(now);
     auto const relayed = burden.relayed;
     auto body = relayed ? burden.make_told(number, now) : burden.make_digest(now);
@@ -27,8 +27,8 @@
     auto const nodes = control.nodes_placing();
     {
         auto const guard = std::lock_guard(table.lock);
-        table.granting.burden.relayed = relayed;
-        table.granting.burden.fleet_nodes = nodes;
+        table.scheduler.burden.relayed = relayed;
+        table.scheduler.burden.fleet_nodes = nodes;
     }
     if (relayed == load_relayed) return;
     load_relayed = relayed;
--- a/source/process/node_parts.cpp
+++ b/source/process/node_parts.cpp
@@ -93,9 +93,9 @@
 auto Node::take_kept(CacheBatch const& batch, bool forget) -> void {
     auto const changes = read_changes(batch.changes);
     auto const guard = std::lock_guard(table.lock);
-    auto& burden = table.granting.burden;
-    auto const found = batch.store ? table.granting.stores.find(batch.source) : table.granting.stores.end();
-    if (!changes || (batch.store && found == table.granting.stores.end())) return;
+    auto& burden = table.scheduler.burden;
+    auto const found = batch.store ? table.scheduler.stores.find(batch.source) : table.scheduler.stores.end();
+    if (!changes || (batch.store && found == table.scheduler.stores.end())) return;
     if (batch.store) found->second.up = !batch.life.empty();
     if (forget && batch.store) found->second.parts.clear();
     else if (forget) burden.forget_parts(batch.source);
--- a/source/process/node_relay.cpp
+++ b/source/process/node_relay.cpp
@@ -14,7 +14,7 @@
 // Those that the settings name take the place of the defaults.
 auto Node::take_scheduling_options(SchedulingOptions options) -> void {
     set_scheduling_options(settings.scheduling, options);
-    table.granting.set_options(options);
+    table.scheduler.set_options(options);
     control.load_relay.times.interval = options.relayed_interval / 2;  // a relay's sums are no staler than its words
 }
 
@@ -27,7 +27,7 @@
               })
             : ApplyChange(apply_weights_version);
     }
-    auto options = table.granting.options;
+    auto options = table.scheduler.options;
     options.work_outstanding = true;
     options.idle_open = true;
     options.short_prompt = 2'048;  // one step of a replica reads as much
@@ -39,7 +39,7 @@
 auto Node::take_services(Snapshot& fresh) -> void {
     auto const& rules = fresh.rules->services;
     if (!rules) return;
-    auto& fetch_rate = table.granting.options.fetch_tokens_each_second;
+    auto& fetch_rate = table.scheduler.options.fetch_tokens_each_second;
     for (auto& entry : fresh.list.replicas) {
         auto const* service = rules->service(entry.model);
         if (service == nullptr) continue;
@@ -51,7 +51,7 @@
 }
 
 auto Node::take_replica_weights(Snapshot const& fresh) -> void {
-    auto& stores = table.granting.stores;
+    auto& stores = table.scheduler.stores;
     std::set<std::string> named;
     if (fresh.rules->services)
         for (auto const& service : fresh.rules->services->document.services) {
@@ -77,7 +77,7 @@
         if (weights_guard.withhold(name, late))  // the leader's log tells why it takes so long
             write_log(Level::warning, "weights-withheld", fields("replica", name, "version", version));
         auto const closed = held.loading || late || unjudged;
-        table.granting.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
+        table.scheduler.burden.take_weights(name, version == 0 ? "" : std::to_string(version), closed);
     }
     weights_guard.plan_judging(fresh.replica_weights, now);
     weights_guard.forget_others(fresh.replica_weights);
--- a/source/process/node_reload.cpp
+++ b/source/process/node_reload.cpp
@@ -22,13 +22,13 @@
     message_memory.set_most(shares.message_memory);
     most_client_connections = shares.client_connections;
     auto const& bounds = settings.bounds;
-    auto& granting = table.granting;
-    granting.budget.each_ticket = bounds.retry_ratio;
-    granting.budget.stored = granting.budget.most = most_extra_tries(bounds);
+    auto& scheduler = table.scheduler;
+    scheduler.budget.each_ticket = bounds.retry_ratio;
+    scheduler.budget.stored = scheduler.budget.most = most_extra_tries(bounds);
     if (form != nullptr) {  // the product's own interface keeps its tighter limits
         auto const limits = proof_limits_of(bounds);
-        granting.proof_limit = control.times.proof_limit = limits.entry;
-        granting.proof_shed_limit = control.times.shed_limit = limits.shed;
+        scheduler.proof_limit = control.times.proof_limit = limits.entry;
+        scheduler.proof_shed_limit = control.times.shed_limit = limits.shed;
         limit_calls(control.times);
     }
     if (!settings_file.empty()) settings_time = time_of(settings_file);
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -24,7 +24,7 @@
     };
 
     typename Primitives::Mutex lock;
-    Scheduler granting;
+    Scheduler scheduler;
     std::map<std::uint64_t, Entry> entries;
 
     // `avoid` names the replica of an earlier try that did not run; then the
@@ -35,8 +35,8 @@
         auto const guard = Guard(lock);
         entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
         Decisions decisions;
-        if (avoid) granting.enter_again(ticket, *avoid, now);
-        else granting.enter(ticket, now, decisions);
+        if (avoid) scheduler.enter_again(ticket, *avoid, now);
+        else scheduler.enter(ticket, now, decisions);
         settle(decisions);
         match_locked(now, proof_age);
     }
@@ -58,7 +58,7 @@
     auto abandon(std::uint64_t number) -> void {
         auto const guard = Guard(lock);
         auto const entry = take(number);
-        if (entry.placement) granting.burden.release(entry.placement->replica, number);
+        if (entry.placement) scheduler.burden.release(entry.placement->replica, number);
     }
 
     auto match(Microseconds now, Microseconds proof_age) -> void {
@@ -68,7 +68,7 @@
 
     auto match_locked(Microseconds now, Microseconds proof_age) -> void {
         Decisions decisions;
-        granting.match(now, proof_age, decisions);
+        scheduler.match(now, proof_age, decisions);
         settle(decisions);
     }
 
@@ -76,7 +76,7 @@
     template <typename Work>
     auto with(Work&& work) -> decltype(auto) {
         auto const guard = Guard(lock);
-        return work(granting);
+        return work(scheduler);
     }
 
    private:
@@ -86,7 +86,7 @@
             entry = std::move(found->second);
             entries.erase(found);
         }
-        granting.withdraw(number);
+        scheduler.withdraw(number);
         return entry;
     }
 
@@ -94,7 +94,7 @@
         for (auto const& placement : decisions.placements) {
             auto const found = entries.find(placement.ticket);
             if (found == entries.end()) {
-                granting.burden.release(placement.replica, placement.ticket);
+                scheduler.burden.release(placement.replica, placement.ticket);
                 continue;
             }
             found->second.placement = placement;
