--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -42,7 +42,7 @@
         });
     };
     auto const began = clock_now();
-    node.table.enter(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
     auto const present = co_await wait_for_slot(slot);
     if (!present) {
         node.table.abandon(number);
@@ -118,7 +118,7 @@
         if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
         if (step.release_claim) node.make_claim(course.ticket, true, {});
         switch (step.step) {
-            case Step::enter: step = co_await enter_buffer(course); break;
+            case Step::enqueue: step = co_await enter_buffer(course); break;
             case Step::claim: step = co_await claim(course); break;
             case Step::interpret: {
                 auto const facts = node.facts_for(course.placement.replica);
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -99,7 +99,7 @@
         });
     };
     auto const began = clock_now();
-    node.table.enter(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(course.ticket, course.avoid, std::move(wake), began, node.proof_age(began));
     watch->on_gone = [slot] { slot->signal.cancel(); };
     while (!watch->gone && !node.table.decided(number)) co_await slot->signal.async_wait(use_tuple);
     watch->on_gone = nullptr;
@@ -147,7 +147,7 @@
         if (!step.reason.empty()) answer.trace.outcome += ": " + step.reason;
         if (!step.give_back.empty()) node.release(step.give_back, course.ticket.number);
         switch (step.step) {
-            case Step::enter: {
+            case Step::enqueue: {
                 auto const entered_at = clock_now();
                 step = co_await wait_for_place(course);
                 answer.trace.waited += clock_now() - entered_at;
@@ -157,7 +157,7 @@
                 auto const facts = node.facts_for(course.placement.replica);
                 auto later = judge(request, course.ticket.arrived_at);
                 auto const verdict = later.verdict.verdict;
-                if (verdict.kind == Verdict::Kind::enter) judged = std::move(later.verdict);
+                if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
                 step = course.judged(verdict, later.rules, facts);
                 break;
             }
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -114,7 +114,7 @@
     }
     if (arrival.identity.empty()) return refuse(400, "a request needs its identity");
     fill_ticket(arrival, result, ticket);
-    verdict.kind = Verdict::Kind::enter;
+    verdict.kind = Verdict::Kind::enqueue;
     verdict.status = 0;
     return result;
 }
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -29,14 +29,14 @@
 
     // `avoid` names the replica of an earlier try that did not run; then the
     // entry is an extra try.
-    auto enter(
+    auto enqueue(
         InferenceRequest const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
         Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
         entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
         Decisions decisions;
         if (avoid) scheduler.enter_again(ticket, *avoid, now);
-        else scheduler.enter(ticket, now, decisions);
+        else scheduler.enqueue(ticket, now, decisions);
         settle(decisions);
         match_locked(now, proof_age);
     }
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -15,7 +15,7 @@
 };
 
 struct Verdict {
-    enum class Kind : int { answer, enter, forward };
+    enum class Kind : int { answer, enqueue, forward };
     Kind kind = Kind::answer;
     int status = 500;
     std::string reason;
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -14,7 +14,7 @@
 
 auto step_for(RetryDecision decision) -> Step {
     switch (decision) {
-        case RetryDecision::send_again: return Step::enter;
+        case RetryDecision::send_again: return Step::enqueue;
         case RetryDecision::refused: return Step::answer_shed;
         case RetryDecision::unknown: return Step::answer_unknown;
         case RetryDecision::pass_failure: return Step::answer_failure;
@@ -97,7 +97,7 @@
     avoid.reset();
     ticket.counted = true;
     LifecycleStep step;
-    step.step = Step::enter;
+    step.step = Step::enqueue;
     step.give_back = placement.replica;
     return step;
 }
@@ -106,7 +106,7 @@
     rules = under;
     LifecycleStep step;
     step.give_back = placement.replica;
-    if (verdict.kind != Verdict::Kind::enter) {
+    if (verdict.kind != Verdict::Kind::enqueue) {
         if (facts.proof_age > facts.refusal_limit) {  // a newer configuration may allow it
             step = give_up("not-fresh", 1);
             step.give_back = placement.replica;
@@ -153,7 +153,7 @@
     step.status = 503;
     step.step = step_for(retry::decide(end, request_facts(), limits));
     step.release_claim = step.step == Step::answer_shed && claim_held;
-    if (step.step != Step::enter) return step;
+    if (step.step != Step::enqueue) return step;
     history.may_have_run = history.may_have_run || retry::ran_or_may_have(end);
     history.output_begun = history.output_begun || end == TryEnd::broken_resumable;
     history.failure_held = history.failure_held || end == TryEnd::answered_failure;
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -11,7 +11,7 @@
 namespace dockrock {
 
 enum class Step : int {
-    enter,           // into the buffer; `avoid` is set where it is an extra try
+    enqueue,         // into the buffer; `avoid` is set where it is an extra try
     claim,           // the identity, at the leader of the service's part
     interpret,       // the rules moved: run them again
     send,            // the try may go to its replica now
@@ -60,7 +60,7 @@
     std::uint64_t claim_term = 0;
     std::optional<std::string> avoid;
 
-    auto begin() const -> LifecycleStep { return {Step::enter}; }
+    auto begin() const -> LifecycleStep { return {Step::enqueue}; }
     auto placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep;
     auto given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep;
     auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -33,7 +33,7 @@
     return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
 }
 
-auto Scheduler::enter(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
+auto Scheduler::enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
     if (!ticket.counted) budget.ticket_came();
     auto& buffer = buffers[ticket.body.model];
     auto const expected = expected_service(buffer, ticket);
