--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -35,7 +35,7 @@
         {"rank", ticket.rank},
         {"weights", placement.weights},
         {"incarnation", placement.incarnation},
-        {"wall", ticket.wall_domain},
+        {"wall", ticket.isolation_domain},
         {"tenant", ticket.tenant_path},
         {"chain", std::move(chain)},
         {"chain_tokens", std::move(tokens)},
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -52,7 +52,7 @@
 
 // Parts made under weights that are not known, and so may be any, are shared with no other request.
 auto salt_for(RequestLifecycle const& course, std::string_view identity) -> std::string {
-    auto const& wall = course.ticket.wall_domain;
+    auto const& wall = course.ticket.isolation_domain;
     if (!course.placement.weights.empty()) return salt_of(wall, course.placement.weights);
     if (course.ticket.body.prefix.empty()) return {};
     return salt_of(wall, std::string(unknown_weights).append(identity));
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -31,7 +31,7 @@
         auto const tokens = number_of(item, 0);
         if (name.empty() || tokens < 0 || tokens > most_tokens) break;  // what follows can't be found by it
         ticket.body.prefix.push_back({std::string(name), tokens});
-        ticket.chain.push_back(part_hash(ticket.wall_domain, name));
+        ticket.chain.push_back(part_hash(ticket.isolation_domain, name));
         ticket.prefix_tokens += tokens;
     }
     // Requests that share all but the last part belong together (design 9.7).
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-auto salt_of(std::string_view wall_domain, std::string_view weights) -> std::string {
-    return std::string(weights) + "/" + std::string(wall_domain);
+auto salt_of(std::string_view isolation_domain, std::string_view weights) -> std::string {
+    return std::string(weights) + "/" + std::string(isolation_domain);
 }
 
 auto read_salt(std::string_view salt) -> std::optional<std::pair<std::string, std::string>> {
@@ -53,8 +53,8 @@
     return std::pair(std::string(salt.substr(place + 1)), std::string(salt.substr(0, place)));
 }
 
-auto part_hash(std::string_view wall_domain, std::string_view part) -> std::uint64_t {
-    return hash_text(part, hash_text(wall_domain));
+auto part_hash(std::string_view isolation_domain, std::string_view part) -> std::uint64_t {
+    return hash_text(part, hash_text(isolation_domain));
 }
 
 auto urgency_of(ServiceTenant const* tenant, Route const& route) -> int {
@@ -81,7 +81,7 @@
     ticket.body.run_once = !route.repeatable;
     ticket.tries = route.tries;
     ticket.tenant_path = tenant == nullptr ? "" : tenant->name;
-    ticket.wall_domain = judged.rules->scope_of(tenant);
+    ticket.isolation_domain = judged.rules->scope_of(tenant);
     ticket.rank = 9 - urgency_of(tenant, route);
     ticket.arrived_at = arrival.now;
     ticket.deadline = deadline_of(arrival, route);
--- a/source/request/relayed.hpp
+++ b/source/request/relayed.hpp
@@ -24,11 +24,11 @@
 
 // Under what text kept prompts are found: the wall and the weights' version, so
 // that memory behind another wall or of other weights is never found.
-auto salt_of(std::string_view wall_domain, std::string_view weights) -> std::string;
+auto salt_of(std::string_view isolation_domain, std::string_view weights) -> std::string;
 // The parts of a salt again; nothing where it is not one of ours.
 auto read_salt(std::string_view salt) -> std::optional<std::pair<std::string, std::string>>;
 // One part under one wall, as the index of kept prompts knows it.
-auto part_hash(std::string_view wall_domain, std::string_view part) -> std::uint64_t;
+auto part_hash(std::string_view isolation_domain, std::string_view part) -> std::uint64_t;
 // Tenant before route; 0 first, 9 last.
 auto urgency_of(ServiceTenant const* tenant, Route const& route) -> int;
 
--- a/source/sequence/configuration.cpp
+++ b/source/sequence/configuration.cpp
@@ -21,7 +21,7 @@
 
 struct Inherited {
     Isolation wall = Isolation::shared;
-    std::string wall_domain = std::string(whole_fleet);
+    std::string isolation_domain = std::string(whole_fleet);
     int rank = 0;
     int share = 1;
     std::vector<Key> keys;
@@ -61,7 +61,7 @@
                     "walls only tighten downward: a branch above sets " +
                         std::string(wall_names[static_cast<std::size_t>(from.wall)]));
             } else {
-                if (wall == Isolation::group) from.wall_domain = group_domain(tree_path);
+                if (wall == Isolation::group) from.isolation_domain = group_domain(tree_path);
                 from.wall = wall;
             }
         }
@@ -119,7 +119,7 @@
             auto const mine = inherit(tenant, here, place, tenant_path);
             if (!tenant_names.insert(tenant.name).second) problem(place + "/name", "another tenant has this name");
             if (result.tenants.size() >= most_tenants) return problem(place, "more than 4096 tenants");
-            auto const domain = mine.wall == Isolation::isolated ? isolated_scope(tenant_path) : mine.wall_domain;
+            auto const domain = mine.wall == Isolation::isolated ? isolated_scope(tenant_path) : mine.isolation_domain;
             result.tenants.push_back(
                 {tenant_path, tenant.name, mine.wall, domain, domain, mine.rank, mine.share, mine.keys, mine.keys_from,
                  mine.models});
@@ -137,13 +137,14 @@
 
 auto set_scopes(std::vector<Tenant>& tenants) -> void {
     std::map<std::string, std::set<std::string>> walled_off;  // by domain that tenants share in
-    for (auto const& tenant : tenants) walled_off[tenant.wall_domain];
+    for (auto const& tenant : tenants) walled_off[tenant.isolation_domain];
     for (auto const& tenant : tenants)
         for (auto const& domain : domains_around(tenant.path))
-            if (auto const found = walled_off.find(domain); found != walled_off.end() && domain != tenant.wall_domain)
-                found->second.insert(tenant.wall_domain);
+            if (auto const found = walled_off.find(domain);
+                found != walled_off.end() && domain != tenant.isolation_domain)
+                found->second.insert(tenant.isolation_domain);
     for (auto& tenant : tenants)
-        tenant.sharing_scope = sharing_scope(tenant.wall_domain, walled_off[tenant.wall_domain]);
+        tenant.sharing_scope = sharing_scope(tenant.isolation_domain, walled_off[tenant.isolation_domain]);
 }
 
 auto check_range(Checker& checker, std::int64_t value, std::int64_t least, std::int64_t most, std::string const& path)
--- a/source/sequence/configuration.hpp
+++ b/source/sequence/configuration.hpp
@@ -61,8 +61,8 @@
     std::string path;
     std::string name;
     Isolation wall = Isolation::shared;
-    std::string wall_domain;    // prefix memory is shared only within one domain
-    std::string sharing_scope;  // the domain, and who is walled off from it (sequence/sharing_scope.hpp)
+    std::string isolation_domain;  // prefix memory is shared only within one domain
+    std::string sharing_scope;     // the domain, and who is walled off from it (sequence/sharing_scope.hpp)
     int rank = 0;
     int share = 1;
     std::vector<Key> keys;
--- a/source/sequence/plan.cpp
+++ b/source/sequence/plan.cpp
@@ -56,7 +56,8 @@
     Facts facts;
     for (auto const& tenant : checked.tenants)
         facts[tenant.path] = {
-            {"wall", wall_words[static_cast<std::size_t>(tenant.wall)]}, {"memory_shared_within", tenant.wall_domain}};
+            {"wall", wall_words[static_cast<std::size_t>(tenant.wall)]},
+            {"memory_shared_within", tenant.isolation_domain}};
     return facts;
 }
 
--- a/source/ticket/inference_request.hpp
+++ b/source/ticket/inference_request.hpp
@@ -31,7 +31,7 @@
     InferenceBody body;
     std::string key_hash;
     std::string tenant_path;
-    std::string wall_domain;
+    std::string isolation_domain;
     int rank = 0;
     int share = 1;
     Microseconds arrived_at = 0;
--- a/source/ticket/interpreter.cpp
+++ b/source/ticket/interpreter.cpp
@@ -58,7 +58,7 @@
         }
         if (tenant == nullptr) return refuse(403, "this key does not serve that tenant");
         verdict.ticket.tenant_path = tenant->path;
-        verdict.ticket.wall_domain = tenant->wall_domain;
+        verdict.ticket.isolation_domain = tenant->isolation_domain;
         verdict.ticket.rank = tenant->rank;
         verdict.ticket.share = tenant->share;
         return true;
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -127,7 +127,7 @@
     // An answer that has begun is ended by the service that began it.
     auto const elsewhere = !history.output_begun && verdict.ticket.body.model != ticket.body.model;
     auto const moved =
-        elsewhere || verdict.ticket.chain != ticket.chain || verdict.ticket.wall_domain != ticket.wall_domain;
+        elsewhere || verdict.ticket.chain != ticket.chain || verdict.ticket.isolation_domain != ticket.isolation_domain;
     if (!moved) return last_checks(facts);
     verdict.ticket.number = ticket.number;
     verdict.ticket.arrived_at = ticket.arrived_at;
