--- a/source/connection/inference_run.cpp
+++ b/source/connection/inference_run.cpp
@@ -19,30 +19,30 @@
     co_await timer.async_wait(use_tuple);
 }
 
-auto run_body(InferenceRequest const& ticket, Placement const& placement) -> std::string {
+auto run_body(InferenceRequest const& inference, Placement const& placement) -> std::string {
     json::array chain;
-    for (auto item : ticket.chain) chain.push_back(json::string(chain_text(item)));
+    for (auto item : inference.chain) chain.push_back(json::string(chain_text(item)));
     json::array tokens;
-    for (auto const& part : ticket.body.prefix) tokens.push_back(part.tokens);
+    for (auto const& part : inference.body.prefix) tokens.push_back(part.tokens);
     return json::serialize(json::object{
         {"identity",
-         ticket.body.identity.empty() ? std::to_string(ticket.number)
-                                      : ticket.tenant_path + "/" + ticket.body.identity},
-        {"ticket", std::to_string(ticket.number)},
-        {"run_once", ticket.body.run_once},
-        {"model", ticket.body.model},
-        {"kind", ticket.body.kind},
-        {"rank", ticket.rank},
+         inference.body.identity.empty() ? std::to_string(inference.number)
+                                         : inference.tenant_path + "/" + inference.body.identity},
+        {"ticket", std::to_string(inference.number)},
+        {"run_once", inference.body.run_once},
+        {"model", inference.body.model},
+        {"kind", inference.body.kind},
+        {"rank", inference.rank},
         {"weights", placement.weights},
         {"incarnation", placement.incarnation},
-        {"wall", ticket.isolation_domain},
-        {"tenant", ticket.tenant_path},
+        {"wall", inference.isolation_domain},
+        {"tenant", inference.tenant_path},
         {"chain", std::move(chain)},
         {"chain_tokens", std::move(tokens)},
-        {"prompt_tokens", ticket.prompt_tokens},
-        {"max_tokens", ticket.body.max_tokens},
-        {"slots", ticket.body.slots},
-        {"prompt", ticket.body.prompt},
+        {"prompt_tokens", inference.prompt_tokens},
+        {"max_tokens", inference.body.max_tokens},
+        {"slots", inference.body.slots},
+        {"prompt", inference.body.prompt},
         {"fetch_source", placement.fetch.source},
         {"fetch_tokens", placement.fetch.tokens},
         {"fetch_limit_microseconds", placement.fetch.limit}});
@@ -60,7 +60,7 @@
 
 auto run_try(Session& session, RequestLifecycle const& lifecycle, bool keep_alive) -> awaitable<TryResult> {
     auto& node = session.node;
-    auto const& ticket = lifecycle.ticket;
+    auto const& inference = lifecycle.inference;
     auto const& placement = lifecycle.placement;
     auto const try_number = lifecycle.try_number;
     auto facts = TryFacts();
@@ -78,11 +78,11 @@
         result.held_back = look == SendCheck::moved_on;
         co_return result;
     }
-    auto const posted = http_ask(http::verb::post, "/run", run_body(ticket, placement));
+    auto const posted = http_ask(http::verb::post, "/run", run_body(inference, placement));
     auto const request = make_request(posted, placement.address);
     // From here on the replica may have it: whatever breaks is not known to
     // have run or not (design 10.2).
-    auto const patience = std::max<Microseconds>(ticket.deadline - clock_now(), one_second) + 2 * one_second;
+    auto const patience = std::max<Microseconds>(inference.deadline - clock_now(), one_second) + 2 * one_second;
     stream.expires_after(std::chrono::microseconds(patience));
     auto const [unsent, written] = co_await http::async_write(stream, request, use_tuple);
     facts.written = written == 0 ? BytesWritten::none : unsent ? BytesWritten::head : BytesWritten::whole;
@@ -115,7 +115,7 @@
         auto const fetched = number("Fetched-Tokens");
         auto const took = number("Fetch-Microseconds");
         node.counters.cached_tokens += static_cast<std::uint64_t>(std::max<std::int64_t>(0, number("Kept-Tokens")));
-        node.counters.prefix_tokens += static_cast<std::uint64_t>(ticket.prefix_tokens);
+        node.counters.prefix_tokens += static_cast<std::uint64_t>(inference.prefix_tokens);
         if (took > 0) {  // measured link speed, for the fetch planner (design 9.7)
             auto const guard = std::lock_guard(node.table.lock);
             node.table.scheduler.fetched(placement.fetch.source, placement.replica, fetched, took, clock_now());
@@ -140,8 +140,8 @@
                 head.set("Dockrock-Replica", placement.replica);
                 head.set("Dockrock-Try", std::to_string(try_number));
                 head.set("Dockrock-Weights", placement.weights);
-                head.set("Dockrock-Ticket", std::to_string(ticket.number));
-                node.latency_metrics.first_pieces.of(ticket).add(clock_now() - ticket.arrived_at);
+                head.set("Dockrock-Ticket", std::to_string(inference.number));
+                node.latency_metrics.first_pieces.of(inference).add(clock_now() - inference.arrived_at);
                 head.keep_alive(stay);
                 head.chunked(true);
                 auto serializer = http::response_serializer<http::empty_body>(head);
--- a/source/connection/inference_session.cpp
+++ b/source/connection/inference_session.cpp
@@ -32,7 +32,7 @@
 
 // Into the buffer, and out of it with a placement or a shedding.
 auto Session::enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
-    auto const number = lifecycle.ticket.number;
+    auto const number = lifecycle.inference.number;
     auto const executor = co_await asio::this_coro::executor;
     auto const slot = std::make_shared<Slot>(executor);
     auto wake = [slot] {
@@ -42,7 +42,7 @@
         });
     };
     auto const began = clock_now();
-    node.table.enqueue(lifecycle.ticket, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(lifecycle.inference, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
     auto const present = co_await wait_for_slot(slot);
     if (!present) {
         node.table.abandon(number);
@@ -50,7 +50,7 @@
         co_return lifecycle.gone();
     }
     auto const entry = node.table.leave(number);
-    node.latency_metrics.waiting(lifecycle.ticket).add(clock_now() - began);
+    node.latency_metrics.waiting(lifecycle.inference).add(clock_now() - began);
     if (entry.shed)
         co_return lifecycle.given_up(shed_names[static_cast<std::size_t>(entry.shed->reason)], entry.shed->retry_after);
     co_return lifecycle.placed(*entry.placement, node.lifecycle_facts(entry.placement->replica));
@@ -62,7 +62,7 @@
     auto const done = co_await asio::async_initiate<asio::use_awaitable_t<> const, void(ClaimDone)>(
         [&](auto handler) {
             auto const shared = std::make_shared<decltype(handler)>(std::move(handler));
-            node.make_claim(lifecycle.ticket, false, [executor, shared](ClaimDone result) {
+            node.make_claim(lifecycle.inference, false, [executor, shared](ClaimDone result) {
                 asio::post(executor, [shared, result]() mutable { std::move (*shared)(result); });
             });
         },
@@ -81,32 +81,32 @@
     auto const sent_at = clock_now();
     auto const replica = lifecycle.placement.replica;
     auto const result = co_await run_try(*this, lifecycle, request.keep_alive());
-    node.try_ended(replica, lifecycle.ticket, result.end, result.reason, sent_at);
+    node.try_ended(replica, lifecycle.inference, result.end, result.reason, sent_at);
     log_inference(
-        lifecycle.ticket, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
+        lifecycle.inference, "try-ended", result.reason.empty() ? std::string("answered") : result.reason, replica);
     usable = result.usable;
     co_return result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason);
 }
 
-auto Session::log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
+auto Session::log_inference(InferenceRequest const& inference, char const* event, std::string what, std::string replica)
     -> void {
     write_log(
         Level::debug, event,
-        fields("ticket", ticket.number, "tenant", ticket.tenant_path, "what", what, "replica", replica));
+        fields("ticket", inference.number, "tenant", inference.tenant_path, "what", what, "replica", replica));
 }
 
 auto Session::run_inference(HttpRequest const& request, Verdict verdict, Sequence sequence) -> awaitable<bool> {
     auto lifecycle = RequestLifecycle();
-    lifecycle.ticket = std::move(verdict.ticket);
-    lifecycle.ticket.number = node.next_request_number++;
+    lifecycle.inference = std::move(verdict.inference);
+    lifecycle.inference.number = node.next_request_number++;
     lifecycle.rules = sequence;
-    request_number = lifecycle.ticket.number;
+    request_number = lifecycle.inference.number;
     if (node.resting_now) node.wake();
     try {
         co_return co_await follow(request, lifecycle);
     } catch (...) {  // its connection ends; no place at a replica may stay taken
-        node.table.abandon(lifecycle.ticket.number);
-        node.release(lifecycle.placement.replica, lifecycle.ticket.number);
+        node.table.abandon(lifecycle.inference.number);
+        node.release(lifecycle.placement.replica, lifecycle.inference.number);
         throw;
     }
 }
@@ -115,10 +115,10 @@
     auto usable = false;
     for (auto step = lifecycle.begin();;) {
         log_inference(
-            lifecycle.ticket, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
+            lifecycle.inference, "ticket-step", std::string(step_names[static_cast<std::size_t>(step.step)]),
             lifecycle.placement.replica);
-        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.ticket.number);
-        if (step.release_claim) node.make_claim(lifecycle.ticket, true, {});
+        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.inference.number);
+        if (step.release_claim) node.make_claim(lifecycle.inference, true, {});
         switch (step.step) {
             case Step::enqueue: step = co_await enter_buffer(lifecycle); break;
             case Step::claim: step = co_await claim(lifecycle); break;
--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -52,9 +52,9 @@
 
 // Parts made under weights that are not known, and so may be any, are shared with no other request.
 auto salt_for(RequestLifecycle const& lifecycle, std::string_view identity) -> std::string {
-    auto const& wall = lifecycle.ticket.isolation_domain;
+    auto const& wall = lifecycle.inference.isolation_domain;
     if (!lifecycle.placement.weights.empty()) return salt_of(wall, lifecycle.placement.weights);
-    if (lifecycle.ticket.body.prefix.empty()) return {};
+    if (lifecycle.inference.body.prefix.empty()) return {};
     return salt_of(wall, std::string(unknown_weights).append(identity));
 }
 
--- a/source/connection/relay_output.cpp
+++ b/source/connection/relay_output.cpp
@@ -41,7 +41,8 @@
     output_seen = true;
     if (may_be_recalled()) reset_on_close(false);
     auto const took = now - answer.trace.sent_at;
-    node.table.with([&](Scheduler& scheduler) { scheduler.first_output(lifecycle.placement, lifecycle.ticket, took); });
+    node.table.with(
+        [&](Scheduler& scheduler) { scheduler.first_output(lifecycle.placement, lifecycle.inference, took); });
 }
 
 auto RelayTry::read_pieces() -> awaitable<boost::system::error_code> {
@@ -65,7 +66,8 @@
         if (!bytes.empty()) note_output();
         if (!bytes.empty() || finished) {
             if (!answer.head_sent)
-                node.latency_metrics.first_pieces.of(lifecycle.ticket).add(clock_now() - lifecycle.ticket.arrived_at);
+                node.latency_metrics.first_pieces.of(lifecycle.inference)
+                    .add(clock_now() - lifecycle.inference.arrived_at);
             answer.head_sent = true;
             facts.received = Received::cut_after_output;
             facts.output_resumable = route.resumable && answer.chunked;
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -92,7 +92,7 @@
 }
 
 auto RelaySession::wait_for_place(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep> {
-    auto const number = lifecycle.ticket.number;
+    auto const number = lifecycle.inference.number;
     auto const slot = std::make_shared<Slot>(co_await asio::this_coro::executor);
     auto wake = [slot] {
         asio::post(slot->signal.get_executor(), [slot] {
@@ -101,7 +101,7 @@
         });
     };
     auto const began = clock_now();
-    node.table.enqueue(lifecycle.ticket, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
+    node.table.enqueue(lifecycle.inference, lifecycle.avoid, std::move(wake), began, node.proof_age(began));
     watch->on_gone = [slot] { slot->signal.cancel(); };
     while (!watch->gone && !node.table.decided(number)) co_await slot->signal.async_wait(use_tuple);
     watch->on_gone = nullptr;
@@ -120,16 +120,16 @@
     auto const rules = judgement.verdict.rules;  // keeps the route
     auto const& route = *judgement.verdict.route;
     auto lifecycle = RequestLifecycle();
-    lifecycle.ticket = judgement.verdict.verdict.ticket;
-    lifecycle.ticket.number = node.next_request_number++;
+    lifecycle.inference = judgement.verdict.verdict.inference;
+    lifecycle.inference.number = node.next_request_number++;
     lifecycle.rules = judgement.rules;
     auto answer = RelayAnswer();
     auto usable = false;
     try {
         usable = co_await follow(request, std::move(judgement), lifecycle, answer);
     } catch (...) {  // its connection ends; no place at a replica may stay taken
-        node.table.abandon(lifecycle.ticket.number);
-        node.release(lifecycle.placement.replica, lifecycle.ticket.number);
+        node.table.abandon(lifecycle.inference.number);
+        node.release(lifecycle.placement.replica, lifecycle.inference.number);
         throw;
     }
     if (watch->gone) answer.trace.outcome = "caller-gone";
@@ -147,7 +147,7 @@
     for (auto step = lifecycle.begin();;) {
         answer.trace.outcome = step_names[static_cast<std::size_t>(step.step)];
         if (!step.reason.empty()) answer.trace.outcome += ": " + step.reason;
-        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.ticket.number);
+        if (!step.give_back.empty()) node.release(step.give_back, lifecycle.inference.number);
         switch (step.step) {
             case Step::enqueue: {
                 auto const entered_at = clock_now();
@@ -157,7 +157,7 @@
             }
             case Step::interpret: {
                 auto const facts = node.lifecycle_facts(lifecycle.placement.replica);
-                auto later = judge(request, lifecycle.ticket.arrived_at);
+                auto later = judge(request, lifecycle.inference.arrived_at);
                 auto const verdict = later.verdict.verdict;
                 if (verdict.kind == Verdict::Kind::enqueue) judged = std::move(later.verdict);
                 step = lifecycle.judged(verdict, later.rules, facts);
@@ -171,14 +171,14 @@
                 ++answer.trace.tries;
                 auto const result = co_await send_try(request, judged, lifecycle, answer);
                 answer.trace.failure = result.end == TryEnd::answered ? std::string() : result.reason;
-                node.try_ended(replica, lifecycle.ticket, result.end, result.reason, sent_at);
+                node.try_ended(replica, lifecycle.inference, result.end, result.reason, sent_at);
                 if (result.end != TryEnd::answered && answer.head_sent) answer.keep = false;  // visibly cut
                 if (result.end != TryEnd::answered)
                     write_log(
                         Level::debug, "try-ended",
                         fields("replica", replica, "reason", result.reason, "route", judged.route->name));
                 auto limits = RetryLimits();
-                limits.time_left = lifecycle.ticket.deadline - clock_now();
+                limits.time_left = lifecycle.inference.deadline - clock_now();
                 step = result.held_back ? lifecycle.held_back() : lifecycle.ended(result.end, result.reason, limits);
                 break;
             }
--- a/source/connection/relay_try.cpp
+++ b/source/connection/relay_try.cpp
@@ -49,7 +49,7 @@
         facts.connection = ConnectionUse::reused;
     } else {
         ++node.pool.opened;
-        auto const limit = std::min<Microseconds>(connect_limit, lifecycle.ticket.deadline - clock_now());
+        auto const limit = std::min<Microseconds>(connect_limit, lifecycle.inference.deadline - clock_now());
         connection = co_await connect_to(placement.address, std::max<Microseconds>(limit, one_millisecond));
     }
     if (!connection) {
@@ -125,13 +125,13 @@
     }
     auto const now = clock_now();
     auto const limits = node.work_limits_at(lifecycle.placement.replica, now);
-    attempt.until = lifecycle.ticket.deadline;
+    attempt.until = lifecycle.inference.deadline;
     attempt.begin_by = limits.begin_by;
     if (attempt.may_be_recalled()) attempt.reset_on_close(true);
     auto const& form = *node.form;
     auto const identity = request[form.headers.request_identity];
     auto asked = ExchangeRequest();
-    auto const time_left = std::min(lifecycle.ticket.deadline, limits.end_by) - now;
+    auto const time_left = std::min(lifecycle.inference.deadline, limits.end_by) - now;
     asked.head = head_for_replica(form, request, judged, lifecycle, answer.events.last, time_left);
     asked.body = request.body();
     asked.identity_field = form.headers.request_identity;
--- a/source/connection/request_trace.cpp
+++ b/source/connection/request_trace.cpp
@@ -15,13 +15,14 @@
 auto log_request(RequestLifecycle const& lifecycle, Route const& route, RequestTrace const& trace, Microseconds now)
     -> void {
     if (!log_writes(Level::debug)) return;
-    auto const& ticket = lifecycle.ticket;
+    auto const& inference = lifecycle.inference;
     auto const& placement = lifecycle.placement;
-    auto const since_arrival = [&](Microseconds at) { return at == 0 ? -1 : at - ticket.arrived_at; };
+    auto const since_arrival = [&](Microseconds at) { return at == 0 ? -1 : at - inference.arrived_at; };
     auto line = fields(
-        "route", route.name, "service", ticket.body.model, "target_microseconds", route.target,
-        "pause_limit_microseconds", route.pause_limit, "prompt_tokens", ticket.prompt_tokens + ticket.prefix_tokens,
-        "shared_tokens", shared_run(ticket), "output_tokens", ticket.body.max_tokens);
+        "route", route.name, "service", inference.body.model, "target_microseconds", route.target,
+        "pause_limit_microseconds", route.pause_limit, "prompt_tokens",
+        inference.prompt_tokens + inference.prefix_tokens, "shared_tokens", shared_run(inference), "output_tokens",
+        inference.body.max_tokens);
     line["waited_microseconds"] = trace.waited;
     line["sent_microseconds"] = since_arrival(trace.sent_at);
     line["first_output_microseconds"] = since_arrival(trace.first_at);
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -188,7 +188,7 @@
     if (!current->list.application) co_return co_await shed(request, "no-application", 5);
     auto call = http_ask(request.method(), verdict.forward_path, request.body());
     call.content_type = std::string(request[http::field::content_type]);
-    call.headers.emplace_back("Tenant", verdict.ticket.tenant_path);
+    call.headers.emplace_back("Tenant", verdict.inference.tenant_path);
     auto const address = current->list.application->address;
     auto const result = co_await http_call(address, call, 5 * one_second);
     if (result.end != CallEnd::answered) {
--- a/source/connection/session.hpp
+++ b/source/connection/session.hpp
@@ -39,7 +39,7 @@
     auto enter_buffer(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
     auto claim(RequestLifecycle& lifecycle) -> awaitable<LifecycleStep>;
     auto send_try(HttpRequest const& request, RequestLifecycle& lifecycle, bool& usable) -> awaitable<LifecycleStep>;
-    auto log_inference(InferenceRequest const& ticket, char const* event, std::string what, std::string replica)
+    auto log_inference(InferenceRequest const& inference, char const* event, std::string what, std::string replica)
         -> void;
 };
 
--- a/source/process/latency_metrics.cpp
+++ b/source/process/latency_metrics.cpp
@@ -35,10 +35,10 @@
     text += whole + "_count" + braces + " " + std::to_string(total) + "\n";
 }
 
-auto LatencyMetrics::Labelled::of(InferenceRequest const& ticket) -> Histogram& {
+auto LatencyMetrics::Labelled::of(InferenceRequest const& inference) -> Histogram& {
     auto const guard = std::lock_guard(lock);
     auto const full = by_label.size() >= most_labels;
-    auto const label = full ? std::pair(std::string("other"), 0) : std::pair(ticket.body.kind, ticket.rank);
+    auto const label = full ? std::pair(std::string("other"), 0) : std::pair(inference.body.kind, inference.rank);
     auto& found = by_label[label];
     if (!found) found = std::make_unique<Histogram>();
     return *found;
--- a/source/process/latency_metrics.hpp
+++ b/source/process/latency_metrics.hpp
@@ -29,12 +29,12 @@
     struct Labelled {    // by kind and rank
         std::mutex lock;
         std::map<std::pair<std::string, int>, std::unique_ptr<Histogram>> by_label;
-        auto of(InferenceRequest const& ticket) -> Histogram&;
+        auto of(InferenceRequest const& inference) -> Histogram&;
         auto write(std::string& text, std::string const& name) -> void;
     };
     Labelled first_pieces, whole_answers, waits;
 
-    auto waiting(InferenceRequest const& ticket) -> Histogram& { return waits.of(ticket); }
+    auto waiting(InferenceRequest const& inference) -> Histogram& { return waits.of(inference); }
     auto write(std::string& text) -> void;
 };
 
--- a/source/process/node.hpp
+++ b/source/process/node.hpp
@@ -128,10 +128,10 @@
     auto judge_load(Microseconds now) -> void;                                       // whether it goes through relays
     auto make_call(Call call, std::function<void(CallDone)> done) -> void;
     auto recover_fleet(std::function<void(CallDone)> done) -> void;
-    auto make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void;
+    auto make_claim(InferenceRequest const& inference, bool release, std::function<void(ClaimDone)> done) -> void;
     auto release(std::string const& replica, std::uint64_t request_number) -> void;
     auto try_ended(
-        std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
+        std::string const& replica, InferenceRequest const& inference, TryEnd end, std::string const& reason,
         Microseconds sent_at) -> void;
     auto lifecycle_facts(std::string const& replica) const -> LifecycleFacts;
     auto work_limits_at(std::string const& replica, Microseconds now) const -> WorkLimits;
--- a/source/process/node_run.cpp
+++ b/source/process/node_run.cpp
@@ -103,10 +103,10 @@
     });
 }
 
-auto Node::make_claim(InferenceRequest const& ticket, bool release, std::function<void(ClaimDone)> done) -> void {
-    auto const partition = partition_of_service(ticket.body.model);
-    auto ask = ClaimAsk{partition, 0, claim_key(ticket), "", release};
-    in_control([this, ask = std::move(ask), number = ticket.number, done = std::move(done)]() mutable {
+auto Node::make_claim(InferenceRequest const& inference, bool release, std::function<void(ClaimDone)> done) -> void {
+    auto const partition = partition_of_service(inference.body.model);
+    auto ask = ClaimAsk{partition, 0, claim_key(inference), "", release};
+    in_control([this, ask = std::move(ask), number = inference.number, done = std::move(done)]() mutable {
         ask.ticket = claim_owner(control.membership.self.identity, number);
         auto const token = control.random.next() | 1U;
         if (done) claim_waiters[token] = std::move(done);
--- a/source/process/node_tries.cpp
+++ b/source/process/node_tries.cpp
@@ -43,12 +43,12 @@
 }
 
 auto Node::try_ended(
-    std::string const& replica, InferenceRequest const& ticket, TryEnd end, std::string const& reason,
+    std::string const& replica, InferenceRequest const& inference, TryEnd end, std::string const& reason,
     Microseconds sent_at) -> void {
     auto const now = clock_now();
     {
         auto const guard = std::lock_guard(table.lock);
-        table.scheduler.finished(replica, ticket, now - sent_at, now, end == TryEnd::answered);
+        table.scheduler.finished(replica, inference, now - sent_at, now, end == TryEnd::answered);
         if (retry::outcome_of_replica(end)) table.scheduler.load_table.ended(replica, end != TryEnd::answered, now);
         if (end == TryEnd::not_sent) table.scheduler.load_table.report_failed(replica, now);
         if (end == TryEnd::did_not_run) table.scheduler.load_table.refused(replica, reason, now);
@@ -56,7 +56,7 @@
     }
     if (end == TryEnd::answered) {
         ++counters.answered;
-        latency_metrics.whole_answers.of(ticket).add(now - ticket.arrived_at);
+        latency_metrics.whole_answers.of(inference).add(now - inference.arrived_at);
     }
     if (end == TryEnd::broken_after) ++counters.broken;
     if (end == TryEnd::caller_gone) ++counters.callers_gone;
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -23,22 +23,22 @@
 constexpr auto most_tokens = std::int64_t{100'000'000};
 constexpr Microseconds longest_timeout = 24 * 3'600 * one_second;
 
-auto read_prefix(std::string_view text, InferenceRequest& ticket) -> void {
+auto read_prefix(std::string_view text, InferenceRequest& inference) -> void {
     while (!text.empty()) {
         auto item = take_until(text, ',');
         while (item.starts_with(' ')) item.remove_prefix(1);
         auto const name = take_until(item, ':');
         auto const tokens = number_of(item, 0);
         if (name.empty() || tokens < 0 || tokens > most_tokens) break;  // what follows can't be found by it
-        ticket.body.prefix.push_back({std::string(name), tokens});
-        ticket.chain.push_back(part_hash(ticket.isolation_domain, name));
-        ticket.prefix_tokens += tokens;
+        inference.body.prefix.push_back({std::string(name), tokens});
+        inference.chain.push_back(part_hash(inference.isolation_domain, name));
+        inference.prefix_tokens += tokens;
     }
     // Requests that share all but the last part belong together (design 9.7).
-    ticket.affinity = hash_text(ticket.body.model, ticket.chain.empty() ? 1 : ticket.chain.front());
-    for (auto index = std::size_t{1}; index + 1 < ticket.chain.size(); ++index)
-        ticket.affinity = hash_text(ticket.body.prefix[index].name, ticket.affinity);
-    if (ticket.affinity == 0) ticket.affinity = 1;
+    inference.affinity = hash_text(inference.body.model, inference.chain.empty() ? 1 : inference.chain.front());
+    for (auto index = std::size_t{1}; index + 1 < inference.chain.size(); ++index)
+        inference.affinity = hash_text(inference.body.prefix[index].name, inference.affinity);
+    if (inference.affinity == 0) inference.affinity = 1;
 }
 
 }  // namespace
@@ -73,31 +73,31 @@
 }
 
 // What granting has to know of a request that its route and its tenant let in.
-auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& ticket) -> void {
+auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, InferenceRequest& inference) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
-    ticket.body.model = choose_service(route, hash_text(arrival.identity));
-    ticket.body.kind = route.name;
-    ticket.body.run_once = !route.repeatable;
-    ticket.tries = route.tries;
-    ticket.tenant_path = tenant == nullptr ? "" : tenant->name;
-    ticket.isolation_domain = judged.rules->scope_of(tenant);
-    ticket.rank = 9 - urgency_of(tenant, route);
-    ticket.arrived_at = arrival.now;
-    ticket.deadline = deadline_of(arrival, route);
+    inference.body.model = choose_service(route, hash_text(arrival.identity));
+    inference.body.kind = route.name;
+    inference.body.run_once = !route.repeatable;
+    inference.tries = route.tries;
+    inference.tenant_path = tenant == nullptr ? "" : tenant->name;
+    inference.isolation_domain = judged.rules->scope_of(tenant);
+    inference.rank = 9 - urgency_of(tenant, route);
+    inference.arrived_at = arrival.now;
+    inference.deadline = deadline_of(arrival, route);
     auto tokens = arrival.tokens;
     auto const prompt = number_of(take_until(tokens, ','), 0);
-    ticket.body.max_tokens = std::clamp<std::int64_t>(number_of(tokens, 1), 1, most_tokens);
-    ticket.parts_alone = true;
-    read_prefix(arrival.prefix, ticket);
-    ticket.prompt_tokens = std::max<std::int64_t>(0, std::min(prompt, most_tokens) - ticket.prefix_tokens);
+    inference.body.max_tokens = std::clamp<std::int64_t>(number_of(tokens, 1), 1, most_tokens);
+    inference.parts_alone = true;
+    read_prefix(arrival.prefix, inference);
+    inference.prompt_tokens = std::max<std::int64_t>(0, std::min(prompt, most_tokens) - inference.prefix_tokens);
 }
 }  // namespace
 
 auto judge_relayed(std::shared_ptr<ServiceRules const> rules, RelayArrival const& arrival) -> RelayVerdict {
     RelayVerdict result;
     auto& verdict = result.verdict;
-    auto& ticket = verdict.ticket;
+    auto& inference = verdict.inference;
     auto const refuse = [&](int status, char const* reason) {
         verdict.status = status;
         verdict.reason = reason;
@@ -113,7 +113,7 @@
         if (result.tenant == nullptr) return refuse(401, "unknown key");
     }
     if (arrival.identity.empty()) return refuse(400, "a request needs its identity");
-    fill_ticket(arrival, result, ticket);
+    fill_ticket(arrival, result, inference);
     verdict.kind = Verdict::Kind::enqueue;
     verdict.status = 0;
     return result;
--- a/source/scheduling/choice.cpp
+++ b/source/scheduling/choice.cpp
@@ -9,9 +9,10 @@
 constexpr auto replica_filters = filter_names.size();
 
 // Requests that share a prefix have the same order of replicas; those without one are spread.
-auto spreading_seed(InferenceRequest const& ticket, std::string const& node) -> std::uint64_t {
-    if (!ticket.chain.empty() || !ticket.parts_alone) return ticket.affinity != 0 ? ticket.affinity : ticket.number;
-    return hash_text(node, ticket.number);
+auto spreading_seed(InferenceRequest const& inference, std::string const& node) -> std::uint64_t {
+    if (!inference.chain.empty() || !inference.parts_alone)
+        return inference.affinity != 0 ? inference.affinity : inference.number;
+    return hash_text(node, inference.number);
 }
 
 auto most_frequent(std::array<std::int64_t, replica_filters> const& counts) -> Filter {
@@ -20,10 +21,10 @@
 
 }  // namespace
 
-auto shared_run(InferenceRequest const& ticket) -> std::int64_t {
+auto shared_run(InferenceRequest const& inference) -> std::int64_t {
     auto tokens = std::int64_t{0};
-    for (auto index = std::size_t{0}; index + 1 < ticket.body.prefix.size(); ++index)
-        tokens += ticket.body.prefix[index].tokens;
+    for (auto index = std::size_t{0}; index + 1 < inference.body.prefix.size(); ++index)
+        tokens += inference.body.prefix[index].tokens;
     return tokens;
 }
 
@@ -31,9 +32,9 @@
 auto Scheduler::candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*> {
     std::vector<ReplicaState const*> passed, failing;
     auto counts = std::array<std::int64_t, replica_filters>{};
-    for (auto const* state : load_table.pool(waiting.ticket.body.model)) {
+    for (auto const* state : load_table.pool(waiting.inference.body.model)) {
         if (waiting.avoid.contains(state->entry.name)) continue;
-        auto const result = load_table.check(*state, waiting.ticket, now);
+        auto const result = load_table.check(*state, waiting.inference, now);
         ++filtered[static_cast<std::size_t>(result)];
         ++counts[static_cast<std::size_t>(result)];
         if (result == Filter::passed) passed.push_back(state);
@@ -49,18 +50,18 @@
 auto Scheduler::choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const* {
     auto const found = candidates(waiting, now);
     if (found.empty()) return nullptr;
-    auto const prompt = waiting.ticket.prompt_tokens + waiting.ticket.prefix_tokens;
-    if (options.work_outstanding && prompt > 0) return least_work(found, waiting.ticket, now);
-    return least_requests(found, waiting.ticket, now);
+    auto const prompt = waiting.inference.prompt_tokens + waiting.inference.prefix_tokens;
+    if (options.work_outstanding && prompt > 0) return least_work(found, waiting.inference, now);
+    return least_requests(found, waiting.inference, now);
 }
 
 // Running over capacity, in steps where options say so; ties go to the longest kept prefix, then to a hash.
 auto Scheduler::least_requests(
-    std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
+    std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
     -> ReplicaState const* {
-    auto const seed = options.work_outstanding ? spreading_seed(ticket, load_table.self)
-        : ticket.affinity != 0                 ? ticket.affinity
-                                               : ticket.number;
+    auto const seed = options.work_outstanding ? spreading_seed(inference, load_table.self)
+        : inference.affinity != 0              ? inference.affinity
+                                               : inference.number;
     auto const steps = options.work_outstanding ? std::int64_t{0} : options.load_steps;
     ReplicaState const* best = nullptr;
     auto best_running = std::int64_t{0};
@@ -69,7 +70,7 @@
     for (auto const* candidate : found) {
         auto const& state = *candidate;
         auto const running = load_table.running(state, now) + load_table.reserve(state, now);
-        auto const kept = load_table.cached_tokens(state, ticket);
+        auto const kept = load_table.cached_tokens(state, inference);
         auto const hash = hash_text(state.entry.name, seed);
         auto better = best == nullptr;
         if (!better) {
@@ -89,19 +90,19 @@
 }
 
 // The longest run that replicas of the same weights keep, and the longest that a store has for them.
-auto Scheduler::cached_prefixes(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes {
+auto Scheduler::cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes {
     auto runs = CachedPrefixes{weights_hash};
-    for (auto const* state : load_table.pool(ticket.body.model)) {
+    for (auto const* state : load_table.pool(inference.body.model)) {
         if (state->weights_hash != weights_hash || state->unreachable || !state->report || state->report->changing)
             continue;
-        runs.replicas = std::max(runs.replicas, load_table.cached_tokens(*state, ticket));
+        runs.replicas = std::max(runs.replicas, load_table.cached_tokens(*state, inference));
     }
     for (auto const& [name, store] : stores) {
         if (!store.up || !options.store_reads) continue;
         auto tokens = std::int64_t{0};
-        for (auto index = std::size_t{0}; index + 1 < ticket.chain.size(); ++index) {
-            if (!store.parts.contains(ticket.chain[index] ^ weights_hash)) break;
-            tokens += ticket.body.prefix[index].tokens;
+        for (auto index = std::size_t{0}; index + 1 < inference.chain.size(); ++index) {
+            if (!store.parts.contains(inference.chain[index] ^ weights_hash)) break;
+            tokens += inference.body.prefix[index].tokens;
         }
         runs.stores = std::max(runs.stores, tokens);
     }
@@ -110,28 +111,28 @@
 
 // The least work to wait for before the first token; ties go by the hash of the shared prefix.
 auto Scheduler::least_work(
-    std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now) const
+    std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
     -> ReplicaState const* {
-    auto const seed = spreading_seed(ticket, load_table.self);
+    auto const seed = spreading_seed(inference, load_table.self);
     auto const by_hash = [&](auto const* left, auto const* right) {
         return hash_text(left->entry.name, seed) < hash_text(right->entry.name, seed);
     };
     auto const* home = *std::min_element(found.begin(), found.end(), by_hash);
     auto const rates =
-        PlacementRates{reading_rate(ticket.body.model) / options.fetch_tokens_each_second, options.copy_cost};
+        PlacementRates{reading_rate(inference.body.model) / options.fetch_tokens_each_second, options.copy_cost};
     std::vector<CachedPrefixes> known;
     auto const runs_for = [&](std::uint64_t mark) -> CachedPrefixes const& {
         for (auto const& runs : known)
             if (runs.weights_hash == mark) return runs;
-        return known.emplace_back(cached_prefixes(ticket, mark));
+        return known.emplace_back(cached_prefixes(inference, mark));
     };
     auto view = PlacementView();
-    view.prompt = ticket.prompt_tokens + ticket.prefix_tokens;
-    view.shared = shared_run(ticket);
+    view.prompt = inference.prompt_tokens + inference.prefix_tokens;
+    view.shared = shared_run(inference);
     ReplicaState const* best = nullptr;
     auto best_work = 0.0;
     for (auto const* state : found) {
-        view.kept = load_table.cached_tokens(*state, ticket);
+        view.kept = load_table.cached_tokens(*state, inference);
         auto const& runs = runs_for(state->weights_hash);
         view.outstanding = load_table.unread(*state, now);
         view.best_cached = runs.replicas;
@@ -153,11 +154,11 @@
     return observed.value_or(options.recompute_tokens_each_second);
 }
 
-auto Scheduler::first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void {
-    load_table.first_output(placement.replica, ticket.number);
+auto Scheduler::first_output(Placement const& placement, InferenceRequest const& inference, Microseconds took) -> void {
+    load_table.first_output(placement.replica, inference.number);
     // What waited behind other prompts says nothing of the speed of reading.
     if (placement.tokens_to_read > 0 && placement.outstanding == 0)
-        reading_rates[ticket.body.model].add(placement.tokens_to_read, took);
+        reading_rates[inference.body.model].add(placement.tokens_to_read, took);
 }
 
 }  // namespace dockrock
--- a/source/scheduling/filters.cpp
+++ b/source/scheduling/filters.cpp
@@ -37,21 +37,21 @@
     for (auto& [name, state] : replicas) state.health.judge(outcomes(state, now), now);
 }
 
-auto ReplicaLoadTable::check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const
+auto ReplicaLoadTable::check(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const
     -> Filter {
-    auto const result = check_apart_from_health(state, ticket, now);
+    auto const result = check_apart_from_health(state, inference, now);
     return result == Filter::passed && !state.health.usable(now) ? Filter::failing : result;
 }
 
 auto ReplicaLoadTable::check_apart_from_health(
-    ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter {
+    ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const -> Filter {
     if (state.entry.drain) return Filter::available;
     if (state.unreachable || now < state.unreachable_until) return Filter::reachable;
     if (!state.report || state.report->changing) return Filter::weights;
-    if (!ticket.body.weights.empty() && ticket.body.weights != state.report->weights) return Filter::weights;
-    if (state.entry.capacity < ticket.body.slots) return Filter::capacity;
+    if (!inference.body.weights.empty() && inference.body.weights != state.report->weights) return Filter::weights;
+    if (state.entry.capacity < inference.body.slots) return Filter::capacity;
     if (now < state.paused_until || !has_room(state, now)) return Filter::busy;
-    auto const needed = ticket.declared() - cached_tokens(state, ticket);
+    auto const needed = inference.declared() - cached_tokens(state, inference);
     if (free_memory(state, now) < needed) return Filter::memory;
     return Filter::passed;
 }
--- a/source/ticket/admission_table.hpp
+++ b/source/ticket/admission_table.hpp
@@ -30,13 +30,13 @@
     // `avoid` names the replica of an earlier try that did not run; then the
     // entry is an extra try.
     auto enqueue(
-        InferenceRequest const& ticket, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
+        InferenceRequest const& inference, std::optional<std::string> const& avoid, Wake wake, Microseconds now,
         Microseconds proof_age) -> void {
         auto const guard = Guard(lock);
-        entries[ticket.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
+        entries[inference.number] = Entry{std::nullopt, std::nullopt, std::move(wake)};
         Decisions decisions;
-        if (avoid) scheduler.enqueue_retry(ticket, *avoid, now);
-        else scheduler.enqueue(ticket, now, decisions);
+        if (avoid) scheduler.enqueue_retry(inference, *avoid, now);
+        else scheduler.enqueue(inference, now, decisions);
         settle(decisions);
         schedule_locked(now, proof_age);
     }
--- a/source/ticket/fetching.cpp
+++ b/source/ticket/fetching.cpp
@@ -23,7 +23,7 @@
 }
 
 auto Scheduler::plan_fetch(
-    ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) const
+    ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now) const
     -> FetchPlan {
     FetchPlan best;
     auto best_gain = 0.0;  // seconds saved over recomputing
@@ -35,20 +35,20 @@
         best_gain = gain;
         best = {source, tokens, static_cast<Microseconds>(recompute * 1'000'000.0)};
     };
-    for (auto const* peer : load_table.pool(ticket.body.model)) {
+    for (auto const* peer : load_table.pool(inference.body.model)) {
         auto const& state = *peer;
         if (peer == &target || state.unreachable || !state.report) continue;
         if (state.report->weights != target.report->weights) continue;
-        weigh(state.entry.address, load_table.cached_tokens(state, ticket) - kept);
+        weigh(state.entry.address, load_table.cached_tokens(state, inference) - kept);
     }
-    if (best.source.empty() && !store_address.empty()) weigh(store_address, ticket.prefix_tokens - kept);
+    if (best.source.empty() && !store_address.empty()) weigh(store_address, inference.prefix_tokens - kept);
     return best;
 }
 
 // Single parts: from whichever peer or store keeps the longest run beyond what
 // the target keeps, the nearer first; what no store keeps yet is sent to one.
 auto Scheduler::plan_parts(
-    ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now) -> FetchPlan {
+    ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now) -> FetchPlan {
     FetchPlan best;
     auto best_near = false;
     auto const weigh = [&](std::string const& source, std::string const& area, std::int64_t tokens) {
@@ -58,28 +58,28 @@
         best.tokens = tokens;
         best_near = near;
     };
-    for (auto const* peer : load_table.pool(ticket.body.model)) {
+    for (auto const* peer : load_table.pool(inference.body.model)) {
         auto const& state = *peer;
         if (!options.peer_moves || peer == &target || state.unreachable) continue;
         if (state.weights_hash != target.weights_hash || !state.report || state.report->changing) continue;
-        weigh(state.entry.address, state.entry.area, load_table.cached_tokens(state, ticket));
+        weigh(state.entry.address, state.entry.area, load_table.cached_tokens(state, inference));
     }
-    auto const shared = ticket.chain.empty() ? std::size_t{0} : ticket.chain.size() - 1;  // the last is its own
+    auto const shared = inference.chain.empty() ? std::size_t{0} : inference.chain.size() - 1;  // the last is its own
     auto shared_tokens = std::int64_t{0};
-    for (auto index = std::size_t{0}; index < shared; ++index) shared_tokens += ticket.body.prefix[index].tokens;
+    for (auto index = std::size_t{0}; index < shared; ++index) shared_tokens += inference.body.prefix[index].tokens;
     // All that is read goes there, the request's own part too: only where most of it is shared.
     auto const worth_saving =
-        shared_tokens >= options.least_saved && 2 * shared_tokens >= ticket.prefix_tokens + ticket.prompt_tokens;
+        shared_tokens >= options.least_saved && 2 * shared_tokens >= inference.prefix_tokens + inference.prompt_tokens;
     for (auto& [name, store] : stores) {
         if (!store.up) continue;
         auto tokens = std::int64_t{0};
         auto count = std::size_t{0};
-        while (count < shared && store.parts.contains(ticket.chain[count] ^ target.weights_hash))
-            tokens += ticket.body.prefix[count++].tokens;
+        while (count < shared && store.parts.contains(inference.chain[count] ^ target.weights_hash))
+            tokens += inference.body.prefix[count++].tokens;
         if (options.store_reads) weigh(store.address, store.area, tokens);
         if (!options.store_writes || count == shared || !worth_saving) continue;
         std::erase_if(store.saving, [&](auto const& item) { return now - item.second > options.saving_memory; });
-        if (store.saving.emplace(ticket.chain[shared - 1] ^ target.weights_hash, now).second)
+        if (store.saving.emplace(inference.chain[shared - 1] ^ target.weights_hash, now).second)
             best.save_at = store.address;
     }
     best.tokens = std::max<std::int64_t>(0, best.tokens - kept);
--- a/source/ticket/interpreter.cpp
+++ b/source/ticket/interpreter.cpp
@@ -25,15 +25,15 @@
         for (auto const& [known, places] : rules.tenants_by_key)
             if (equal_in_constant_time(known, hash)) by_key = &places;
         if (by_key == nullptr) return refuse(401, "unknown key");
-        verdict.ticket.key_hash = hash;
+        verdict.inference.key_hash = hash;
         return true;
     }
 
     auto read_inference() -> bool {
         auto const parsed = parse_json(arrival.body);
         if (!parsed) return refuse(400, "the body is not JSON");
-        read_json(*parsed, verdict.ticket.body, "", verdict.problems);
-        auto const& body = verdict.ticket.body;
+        read_json(*parsed, verdict.inference.body, "", verdict.problems);
+        auto const& body = verdict.inference.body;
         if (body.model.empty()) verdict.problems.push_back({"/model", "must be named"});
         if (body.max_tokens < 1) verdict.problems.push_back({"/max_tokens", "must be at least 1"});
         if (body.slots < 1) verdict.problems.push_back({"/slots", "must be at least 1"});
@@ -50,37 +50,37 @@
     }
 
     auto match_tenant() -> bool {
-        auto const& named = verdict.ticket.body.tenant.empty() ? arrival.tenant : verdict.ticket.body.tenant;
+        auto const& named = verdict.inference.body.tenant.empty() ? arrival.tenant : verdict.inference.body.tenant;
         if (named.empty() && by_key->size() > 1) return refuse(400, "this key serves several tenants: name one");
         for (auto place : *by_key) {
             auto const& candidate = rules.checked.tenants[place];
             if (named.empty() || candidate.name == named) tenant = &candidate;
         }
         if (tenant == nullptr) return refuse(403, "this key does not serve that tenant");
-        verdict.ticket.tenant_path = tenant->path;
-        verdict.ticket.isolation_domain = tenant->isolation_domain;
-        verdict.ticket.rank = tenant->rank;
-        verdict.ticket.share = tenant->share;
+        verdict.inference.tenant_path = tenant->path;
+        verdict.inference.isolation_domain = tenant->isolation_domain;
+        verdict.inference.rank = tenant->rank;
+        verdict.inference.share = tenant->share;
         return true;
     }
 
     auto check_kind() -> bool {
-        auto& ticket = verdict.ticket;
-        ticket.arrived_at = arrival.now;
+        auto& inference = verdict.inference;
+        inference.arrived_at = arrival.now;
         auto limit = 10 * one_second;
-        if (!ticket.body.kind.empty()) {
-            auto const found = rules.deadlines.find(ticket.body.kind);
+        if (!inference.body.kind.empty()) {
+            auto const found = rules.deadlines.find(inference.body.kind);
             if (found == rules.deadlines.end()) return refuse(400, "unknown kind of ticket");
             limit = found->second;
         }
-        if (ticket.body.deadline_milliseconds > 0 && ticket.body.deadline_milliseconds < limit / one_millisecond)
-            limit = ticket.body.deadline_milliseconds * one_millisecond;
-        ticket.deadline = arrival.now + limit;
+        if (inference.body.deadline_milliseconds > 0 && inference.body.deadline_milliseconds < limit / one_millisecond)
+            limit = inference.body.deadline_milliseconds * one_millisecond;
+        inference.deadline = arrival.now + limit;
         return true;
     }
 
     auto check_model() -> bool {
-        auto const& model = verdict.ticket.body.model;
+        auto const& model = verdict.inference.body.model;
         if (!rules.models.contains(model)) return refuse(404, "unknown model");
         auto const& allowed = tenant->models;
         if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), model) == allowed.end())
@@ -89,17 +89,17 @@
     }
 
     auto check_sizes(std::int64_t most_tokens) -> bool {
-        auto& ticket = verdict.ticket;
-        if (ticket.body.max_tokens > most_tokens) return refuse(413, "max_tokens is above the limit");
-        if (ticket.body.prefix.size() > static_cast<std::size_t>(rules.checked.configuration.limits.prefix_parts))
+        auto& inference = verdict.inference;
+        if (inference.body.max_tokens > most_tokens) return refuse(413, "max_tokens is above the limit");
+        if (inference.body.prefix.size() > static_cast<std::size_t>(rules.checked.configuration.limits.prefix_parts))
             return refuse(413, "too many prefix parts");
-        if (ticket.body.slots > 1'024) return refuse(413, "slots is above the limit");
-        ticket.prompt_tokens = static_cast<std::int64_t>(ticket.body.prompt.size() / 4 + 1);
-        auto chain = hash_text(tenant->sharing_scope + "\n" + ticket.body.model);
-        for (auto const& part : ticket.body.prefix) {
+        if (inference.body.slots > 1'024) return refuse(413, "slots is above the limit");
+        inference.prompt_tokens = static_cast<std::int64_t>(inference.body.prompt.size() / 4 + 1);
+        auto chain = hash_text(tenant->sharing_scope + "\n" + inference.body.model);
+        for (auto const& part : inference.body.prefix) {
             chain = hash_text(part.name + "\n" + std::to_string(part.tokens), chain);
-            ticket.chain.push_back(chain);
-            ticket.prefix_tokens += part.tokens;
+            inference.chain.push_back(chain);
+            inference.prefix_tokens += part.tokens;
         }
         return true;
     }
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -20,7 +20,7 @@
     int status = 500;
     std::string reason;
     Problems problems;
-    InferenceRequest ticket;
+    InferenceRequest inference;
     std::string forward_path;
 };
 
--- a/source/ticket/replica_load_table.cpp
+++ b/source/ticket/replica_load_table.cpp
@@ -115,12 +115,12 @@
 }
 
 auto ReplicaLoadTable::place(
-    std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread)
-    -> void {
+    std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
+    std::int64_t unread) -> void {
     auto& state = replicas.at(name);
-    state.take_away(ticket.number);
-    state.placed[ticket.number] = {ticket.body.slots, memory, now, unread};
-    state.placed_slots += ticket.body.slots;
+    state.take_away(inference.number);
+    state.placed[inference.number] = {inference.body.slots, memory, now, unread};
+    state.placed_slots += inference.body.slots;
     state.placed_memory += memory;
     state.placed_unread += unread;
     if (now >= state.reported_at) state.placed_since += memory;
@@ -159,21 +159,22 @@
     if (auto const found = replicas.find(name); found != replicas.end()) found->second.parts.clear();
 }
 
-auto ReplicaLoadTable::cached_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t {
-    if (ticket.parts_alone) {
+auto ReplicaLoadTable::cached_tokens(ReplicaState const& state, InferenceRequest const& inference) const
+    -> std::int64_t {
+    if (inference.parts_alone) {
         auto tokens = std::int64_t{0};
-        for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
-            if (!state.parts.contains(ticket.chain[index] ^ state.weights_hash)) break;
-            tokens += ticket.body.prefix[index].tokens;
+        for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
+            if (!state.parts.contains(inference.chain[index] ^ state.weights_hash)) break;
+            tokens += inference.body.prefix[index].tokens;
         }
         return tokens;
     }
     if (state.cache_unknown || !state.report) return 0;
     auto best = std::int64_t{0};
     auto tokens = std::int64_t{0};
-    for (auto index = std::size_t{0}; index < ticket.chain.size(); ++index) {
-        tokens += ticket.body.prefix[index].tokens;
-        if (state.kept.contains(ticket.chain[index])) best = tokens;
+    for (auto index = std::size_t{0}; index < inference.chain.size(); ++index) {
+        tokens += inference.body.prefix[index].tokens;
+        if (state.kept.contains(inference.chain[index])) best = tokens;
     }
     return best;
 }
--- a/source/ticket/replica_load_table.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -189,7 +189,7 @@
     auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
     // `unread`: tokens of the prompt that the replica has to read itself.
     auto place(
-        std::string const& name, InferenceRequest const& ticket, std::int64_t memory, Microseconds now,
+        std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
         std::int64_t unread = 0) -> void;
     // The prompt has been read: the first output came.
     auto first_output(std::string const& name, std::uint64_t request_number) -> void;
@@ -201,9 +201,9 @@
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto cached_tokens(ReplicaState const& state, InferenceRequest const& ticket) const -> std::int64_t;
-    auto check(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const -> Filter;
-    auto check_apart_from_health(ReplicaState const& state, InferenceRequest const& ticket, Microseconds now) const
+    auto cached_tokens(ReplicaState const& state, InferenceRequest const& inference) const -> std::int64_t;
+    auto check(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const -> Filter;
+    auto check_apart_from_health(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const
         -> Filter;
     auto active_nodes(Microseconds now) const -> std::int64_t;
     auto refused(std::string const& name, std::string_view reason, Microseconds now) -> void;
--- a/source/ticket/request_lifecycle.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -2,8 +2,9 @@
 
 namespace dockrock {
 
-auto claim_key(InferenceRequest const& ticket) -> std::string {
-    return sha256_of(ticket.body.model + "\n" + ticket.tenant_path + "\n" + ticket.body.identity).substr(0, 32);
+auto claim_key(InferenceRequest const& inference) -> std::string {
+    return sha256_of(inference.body.model + "\n" + inference.tenant_path + "\n" + inference.body.identity)
+        .substr(0, 32);
 }
 
 auto claim_owner(std::string_view node, std::uint64_t number) -> std::string {
@@ -35,7 +36,7 @@
 
 auto RequestLifecycle::request_facts() const -> RetryRequest {
     auto facts = history;
-    facts.repeatable = !ticket.body.run_once;
+    facts.repeatable = !inference.body.run_once;
     return facts;
 }
 
@@ -83,7 +84,7 @@
 // Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
 auto RequestLifecycle::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
-    if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
+    if (inference.deadline != 0 && facts.now >= inference.deadline) {  // a replica is given no time that is not there
         auto step = give_up("deadline", 1);
         step.give_back = placement.replica;
         return step;
@@ -95,7 +96,7 @@
 // Nothing was sent: no extra try, and no new ticket either.
 auto RequestLifecycle::enter_back() -> LifecycleStep {
     avoid.reset();
-    ticket.counted = true;
+    inference.counted = true;
     LifecycleStep step;
     step.step = Step::enqueue;
     step.give_back = placement.replica;
@@ -119,35 +120,35 @@
         step.reason = verdict.reason;
         return step;
     }
-    take_rules(verdict.ticket);
-    if (ticket.body.run_once && history.may_have_run) {  // what was repeatable no longer is
+    take_rules(verdict.inference);
+    if (inference.body.run_once && history.may_have_run) {  // what was repeatable no longer is
         step.step = step_for(retry::without_another_try(request_facts()));
         return step;
     }
     // An answer that has begun is ended by the service that began it.
-    auto const elsewhere = !history.output_begun && verdict.ticket.body.model != ticket.body.model;
-    auto const moved =
-        elsewhere || verdict.ticket.chain != ticket.chain || verdict.ticket.isolation_domain != ticket.isolation_domain;
+    auto const elsewhere = !history.output_begun && verdict.inference.body.model != inference.body.model;
+    auto const moved = elsewhere || verdict.inference.chain != inference.chain ||
+        verdict.inference.isolation_domain != inference.isolation_domain;
     if (!moved) return last_checks(facts);
-    verdict.ticket.number = ticket.number;
-    verdict.ticket.arrived_at = ticket.arrived_at;
-    verdict.ticket.deadline = ticket.deadline;
-    verdict.ticket.body.run_once = ticket.body.run_once;
-    verdict.ticket.tries = ticket.tries;
-    ticket = std::move(verdict.ticket);
+    verdict.inference.number = inference.number;
+    verdict.inference.arrived_at = inference.arrived_at;
+    verdict.inference.deadline = inference.deadline;
+    verdict.inference.body.run_once = inference.body.run_once;
+    verdict.inference.tries = inference.tries;
+    inference = std::move(verdict.inference);
     return enter_back();
 }
 
 // Rules that moved while a request waits may only make it stricter.
 auto RequestLifecycle::take_rules(InferenceRequest const& judged_ticket) -> void {
-    ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
-    ticket.tries = std::min(ticket.tries, judged_ticket.tries);
+    inference.body.run_once = inference.body.run_once || judged_ticket.body.run_once;
+    inference.tries = std::min(inference.tries, judged_ticket.tries);
 }
 
 auto RequestLifecycle::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
     if (end == TryEnd::did_not_run && reason == "seen") end = TryEnd::seen_before;
     may_have_run += surely_not_run(end) ? 0 : 1;
-    limits.tries_left = ticket.tries - try_number;
+    limits.tries_left = inference.tries - try_number;
     LifecycleStep step;
     step.reason = std::string(reason);
     step.status = 503;
--- a/source/ticket/request_lifecycle.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -49,7 +49,7 @@
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
 struct RequestLifecycle {
-    InferenceRequest ticket;
+    InferenceRequest inference;
     Sequence rules;  // under which the ticket was judged last
     Placement placement;
     int try_number = 1;
@@ -76,7 +76,7 @@
     auto may_be_sent(LifecycleFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
     }
-    auto needs_claim() const -> bool { return ticket.body.run_once && !ticket.body.identity.empty(); }
+    auto needs_claim() const -> bool { return inference.body.run_once && !inference.body.identity.empty(); }
 
    private:
     auto last_checks(LifecycleFacts const& facts) -> LifecycleStep;
@@ -87,7 +87,7 @@
 };
 
 // What is claimed: one identity of one tenant, at one model's part.
-auto claim_key(InferenceRequest const& ticket) -> std::string;
+auto claim_key(InferenceRequest const& inference) -> std::string;
 auto claim_owner(std::string_view node, std::uint64_t number) -> std::string;
 
 }  // namespace dockrock
--- a/source/ticket/scheduler.cpp
+++ b/source/ticket/scheduler.cpp
@@ -29,45 +29,48 @@
     decisions.sheds.push_back({request_number, reason, retry_after(buffer)});
 }
 
-auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& ticket) const -> Microseconds {
+auto Scheduler::expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds {
     // Half the usual time: only the hopeless are given up (design 9.5).
-    return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(ticket.body.max_tokens) * 0.5);
+    return static_cast<Microseconds>(buffer.service_each_token * static_cast<double>(inference.body.max_tokens) * 0.5);
 }
 
-auto Scheduler::enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void {
-    if (!ticket.counted) budget.deposit();
-    auto& buffer = queues[ticket.body.model];
-    auto const expected = expected_service(buffer, ticket);
+auto Scheduler::enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void {
+    if (!inference.counted) budget.deposit();
+    auto& buffer = queues[inference.body.model];
+    auto const expected = expected_service(buffer, inference);
     if (buffer.waiting.size() > options.depth && buffer.drain_rate > 0.01) {
         auto ahead = std::size_t{0};
-        auto const mine = QueuedRequest{ticket, now, {}, 0};
+        auto const mine = QueuedRequest{inference, now, {}, 0};
         for (auto const& other : buffer.waiting)
             if (score(other, now) >= score(mine, now)) ++ahead;
         auto const wait = static_cast<Microseconds>(static_cast<double>(ahead) / buffer.drain_rate * 1'000'000.0);
-        if (now + wait + expected > ticket.deadline)
-            return shed(decisions, buffer, ticket.number, ShedReason::deadline);
+        if (now + wait + expected > inference.deadline)
+            return shed(decisions, buffer, inference.number, ShedReason::deadline);
     }
     if (buffer.waiting.size() >= buffer_length) {
         auto const lowest =
             std::min_element(buffer.waiting.begin(), buffer.waiting.end(), [&](auto const& left, auto const& right) {
-                return std::pair(left.ticket.rank, score(left, now)) < std::pair(right.ticket.rank, score(right, now));
+                return std::pair(left.inference.rank, score(left, now)) <
+                    std::pair(right.inference.rank, score(right, now));
             });
-        if (lowest->ticket.rank >= ticket.rank) return shed(decisions, buffer, ticket.number, ShedReason::buffer_full);
-        shed(decisions, buffer, lowest->ticket.number, ShedReason::outranked);
+        if (lowest->inference.rank >= inference.rank)
+            return shed(decisions, buffer, inference.number, ShedReason::buffer_full);
+        shed(decisions, buffer, lowest->inference.number, ShedReason::outranked);
         buffer.waiting.erase(lowest);
     }
-    buffer.waiting.push_back({ticket, now, {}, 0});
+    buffer.waiting.push_back({inference, now, {}, 0});
 }
 
 // Only for a ticket that is known not to have run. Its extra try waits for the
 // budget a little; what the budget can't pay in time is given up (design 10.4).
-auto Scheduler::enqueue_retry(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void {
-    queues[ticket.body.model].waiting.push_back({ticket, ticket.arrived_at, {avoid}, now});
+auto Scheduler::enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void {
+    queues[inference.body.model].waiting.push_back({inference, inference.arrived_at, {avoid}, now});
 }
 
 auto Scheduler::withdraw(std::uint64_t request_number) -> bool {
     for (auto& [model, buffer] : queues)
-        if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.ticket.number == request_number; }) > 0)
+        if (std::erase_if(buffer.waiting, [&](auto const& item) { return item.inference.number == request_number; }) >
+            0)
             return true;
     return false;
 }
@@ -97,33 +100,34 @@
 // (declared + wait) / declared, the paper's ratio with max tokens as the
 // declared size; share and rank bend it within bounds (design 9.2).
 auto Scheduler::score(QueuedRequest const& waiting, Microseconds now) const -> double {
-    auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.ticket.body.max_tokens));
+    auto const declared = static_cast<double>(std::max<std::int64_t>(1, waiting.inference.body.max_tokens));
     auto const wait = static_cast<double>(now - waiting.since) / 1'000'000.0 * options.wait_token_rate;
-    auto const rank = 1.0 + options.rank_weight * static_cast<double>(waiting.ticket.rank) / 9.0;
-    return (declared + wait) / declared * share_factor(waiting.ticket.tenant_path, waiting.ticket.share, now) * rank;
+    auto const rank = 1.0 + options.rank_weight * static_cast<double>(waiting.inference.rank) / 9.0;
+    return (declared + wait) / declared * share_factor(waiting.inference.tenant_path, waiting.inference.share, now) *
+        rank;
 }
 
 // Takes a place for the request there, with what is known of it now.
 auto Scheduler::place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement {
-    auto const& ticket = waiting.ticket;
+    auto const& inference = waiting.inference;
     auto placement = Placement{
-        ticket.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
-    placement.cached_tokens = load_table.cached_tokens(state, ticket);
-    placement.fetch = ticket.parts_alone ? plan_parts(state, ticket, placement.cached_tokens, now)
-                                         : plan_fetch(state, ticket, placement.cached_tokens, now);
+        inference.number, state.entry.name, state.entry.address, state.report->weights, state.report->incarnation};
+    placement.cached_tokens = load_table.cached_tokens(state, inference);
+    placement.fetch = inference.parts_alone ? plan_parts(state, inference, placement.cached_tokens, now)
+                                            : plan_fetch(state, inference, placement.cached_tokens, now);
     placement.tokens_to_read = std::max<std::int64_t>(
-        0, ticket.prompt_tokens + ticket.prefix_tokens - placement.cached_tokens - placement.fetch.tokens);
+        0, inference.prompt_tokens + inference.prefix_tokens - placement.cached_tokens - placement.fetch.tokens);
     placement.short_prompt = placement.tokens_to_read > 0 && placement.tokens_to_read <= options.short_prompt;
     placement.outstanding = load_table.unread(state, now);
     placement.running = load_table.running(state, now);
-    placement.best_cached = cached_prefixes(ticket, state.weights_hash).replicas;
+    placement.best_cached = cached_prefixes(inference, state.weights_hash).replicas;
     placement.held_by = waiting.held_by;
-    auto const memory = ticket.declared() - placement.cached_tokens;
-    load_table.place(placement.replica, ticket, memory, now, placement.tokens_to_read);
-    auto& used = usage[ticket.tenant_path];
+    auto const memory = inference.declared() - placement.cached_tokens;
+    load_table.place(placement.replica, inference, memory, now, placement.tokens_to_read);
+    auto& used = usage[inference.tenant_path];
     used = {
-        decayed(used.amount, now - used.at, options.share_half_life) + static_cast<double>(ticket.declared()), now,
-        ticket.share};
+        decayed(used.amount, now - used.at, options.share_half_life) + static_cast<double>(inference.declared()), now,
+        inference.share};
     ++placed_count;
     return placement;
 }
@@ -153,7 +157,7 @@
             ++extra_tries;
         }
         decisions.placements.push_back(place(waiting, *found, now));
-        gone.insert(waiting.ticket.number);
+        gone.insert(waiting.inference.number);
     }
     if (!gone.empty()) {
         auto const seconds = std::max(0.001, static_cast<double>(now - buffer.drained_at) / 1'000'000.0);
@@ -163,17 +167,17 @@
         buffer.drained_at = now;
     }
     std::erase_if(buffer.waiting, [&](auto const& item) {
-        if (gone.contains(item.ticket.number)) return true;
-        if (now + expected_service(buffer, item.ticket) >= item.ticket.deadline) {
-            shed(decisions, buffer, item.ticket.number, ShedReason::deadline);
+        if (gone.contains(item.inference.number)) return true;
+        if (now + expected_service(buffer, item.inference) >= item.inference.deadline) {
+            shed(decisions, buffer, item.inference.number, ShedReason::deadline);
             return true;
         }
         if (item.owes_since != 0 && !budget.any() && now - item.owes_since > options.owing_limit) {
-            shed(decisions, buffer, item.ticket.number, ShedReason::budget);
+            shed(decisions, buffer, item.inference.number, ShedReason::budget);
             return true;
         }
         if (buffer.empty_pool_since != 0 && now - buffer.empty_pool_since > options.empty_pool_limit) {
-            shed(decisions, buffer, item.ticket.number, ShedReason::no_replica);
+            shed(decisions, buffer, item.inference.number, ShedReason::no_replica);
             return true;
         }
         return false;
@@ -183,7 +187,8 @@
 auto Scheduler::schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void {
     if (proof_age > proof_shed_limit) {
         for (auto& [model, buffer] : queues) {
-            for (auto const& item : buffer.waiting) shed(decisions, buffer, item.ticket.number, ShedReason::not_fresh);
+            for (auto const& item : buffer.waiting)
+                shed(decisions, buffer, item.inference.number, ShedReason::not_fresh);
             buffer.waiting.clear();
         }
         return;
@@ -194,14 +199,14 @@
 }
 
 auto Scheduler::finished(
-    std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now, bool answered)
-    -> void {
+    std::string const& replica, InferenceRequest const& inference, Microseconds service, Microseconds now,
+    bool answered) -> void {
     (void)now;
-    load_table.release(replica, ticket.number);
+    load_table.release(replica, inference.number);
     if (!answered) return;
-    auto& buffer = queues[ticket.body.model];
+    auto& buffer = queues[inference.body.model];
     auto const each =
-        static_cast<double>(service) / static_cast<double>(std::max<std::int64_t>(1, ticket.body.max_tokens));
+        static_cast<double>(service) / static_cast<double>(std::max<std::int64_t>(1, inference.body.max_tokens));
     buffer.service_each_token = buffer.service_each_token == 0.0 ? each : buffer.service_each_token * 0.9 + each * 0.1;
 }
 
--- a/source/ticket/scheduler.hpp
+++ b/source/ticket/scheduler.hpp
@@ -52,7 +52,7 @@
     std::int64_t stores = 0;
 };
 // Tokens of a prompt that other requests may ask for again: all parts but the last.
-auto shared_run(InferenceRequest const& ticket) -> std::int64_t;
+auto shared_run(InferenceRequest const& inference) -> std::int64_t;
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
@@ -78,7 +78,7 @@
 };
 
 struct QueuedRequest {
-    InferenceRequest ticket;
+    InferenceRequest inference;
     Microseconds since = 0;
     std::set<std::string> avoid;  // replicas that refused it
     Microseconds owes_since = 0;  // an extra try that the budget has still to pay
@@ -120,18 +120,18 @@
     std::uint64_t extra_tries = 0;
 
     auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
-    auto enqueue(InferenceRequest const& ticket, Microseconds now, Decisions& decisions) -> void;
-    auto enqueue_retry(InferenceRequest const& ticket, std::string const& avoid, Microseconds now) -> void;
+    auto enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void;
+    auto enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void;
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
     auto withdraw(std::uint64_t request_number) -> bool;
     auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
     auto finished(
-        std::string const& replica, InferenceRequest const& ticket, Microseconds service, Microseconds now,
+        std::string const& replica, InferenceRequest const& inference, Microseconds service, Microseconds now,
         bool answered) -> void;
     // The first output came `took` after the request was sent: its prompt has been read.
-    auto first_output(Placement const& placement, InferenceRequest const& ticket, Microseconds took) -> void;
+    auto first_output(Placement const& placement, InferenceRequest const& inference, Microseconds took) -> void;
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
     auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
@@ -142,19 +142,20 @@
     auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
     auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
     auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
-    auto least_requests(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
+    auto least_requests(
+        std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
+        -> ReplicaState const*;
+    auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now)
         const -> ReplicaState const*;
-    auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& ticket, Microseconds now)
-        const -> ReplicaState const*;
-    auto cached_prefixes(InferenceRequest const& ticket, std::uint64_t weights_hash) const -> CachedPrefixes;
+    auto cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes;
     auto place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
-    auto plan_parts(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
+    auto plan_parts(ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now)
         -> FetchPlan;
-    auto plan_fetch(ReplicaState const& target, InferenceRequest const& ticket, std::int64_t kept, Microseconds now)
+    auto plan_fetch(ReplicaState const& target, InferenceRequest const& inference, std::int64_t kept, Microseconds now)
         const -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelQueue const& buffer, InferenceRequest const& ticket) const -> Microseconds;
+    auto expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds;
 };
 
 }  // namespace dockrock
