--- a/source/ticket/burden.hpp
+++ b/source/ticket/replica_load_table.hpp
@@ -9,7 +9,7 @@
 #include "control/load.hpp"
 #include "scheduling/options.hpp"
 #include "scheduling/replica_health.hpp"
-#include "ticket/ticket.hpp"
+#include "ticket/inference_request.hpp"
 
 namespace dockrock {
 
@@ -52,7 +52,7 @@
 inline constexpr auto filter_names = std::to_array<std::string_view>(
     {"available", "reachable", "busy", "memory", "capacity", "weights", "failing", "passed"});
 
-struct OtherBurden {
+struct ReplicaLoad {
     std::int64_t count = 0;
     std::int64_t slots = 0;
     std::int64_t memory = 0;
@@ -81,22 +81,22 @@
     std::int64_t placed_unread = 0;
     std::deque<Outcome> outcomes;  // of own tries, within their window
     ReplicaHealth health;
-    std::vector<Microseconds> recent;  // times of own placements, last second
-    std::int64_t untold = 0;           // own placements since the last digest
-    Microseconds paused_until = 0;     // it refused for want of room
+    std::vector<Microseconds> recent;        // times of own placements, last second
+    std::int64_t unreported_placements = 0;  // own placements since the last digest
+    Microseconds paused_until = 0;           // it refused for want of room
     std::optional<ReplicaReport> report;
     Microseconds reported_at = 0;  // when the report was asked for
     Microseconds unreachable_until = 0;
     bool unreachable = false;
-    std::set<std::uint64_t> kept;  // prefix chains, under the reported weights
-    bool kept_unsure = true;
+    std::set<std::uint64_t> cached;  // prefix chains, under the reported weights
+    bool cache_unknown = true;
     std::unordered_map<std::uint64_t, std::uint64_t> parts;  // kept single parts, by part and weights -> weights
-    std::uint64_t weights_mark = 0;                          // hash of the weights it holds now
+    std::uint64_t weights_hash = 0;                          // hash of the weights it holds now
     std::uint64_t next_event = 0;
 
     // What other nodes' digests say of this replica, kept here so that no
     // placement looks through the digests (design 9.4).
-    struct Told {
+    struct RemoteLoad {
         std::uint64_t node = 0;   // number of the digest's node
         std::uint64_t order = 0;  // of that node for this replica's last places
         Microseconds at = 0;
@@ -108,26 +108,26 @@
         std::int64_t ended = 0;
         std::int64_t failed = 0;
     };
-    std::vector<Told> told;
-    std::int64_t told_slots = 0;  // sums over `told`
-    std::int64_t told_memory = 0;
-    std::int64_t told_unread = 0;
-    std::int64_t told_unreported = 0;  // of those told since the report was asked for
-    Microseconds told_oldest = 0;      // none of `told` is older; brought up now and then
-    std::uint64_t seed = 0;            // hash of its name
-    Load summed;                       // what a relay says of all others together (design 9.8)
+    std::vector<RemoteLoad> remote;
+    std::int64_t remote_slots = 0;  // sums over `remote`
+    std::int64_t remote_memory = 0;
+    std::int64_t remote_unread = 0;
+    std::int64_t remote_unreported = 0;  // of those told since the report was asked for
+    Microseconds remote_oldest = 0;      // none of `remote` is older; brought up now and then
+    std::uint64_t seed = 0;              // hash of its name
+    Load summed;                         // what a relay says of all others together (design 9.8)
     // Active nodes whose order is below `orders_mine`; counted anew where the set of them changed.
     mutable std::int64_t orders_below = 0;
     mutable std::uint64_t orders_mine = 0;
     mutable std::uint64_t orders_known = 0;
 
-    auto take_away(std::uint64_t ticket) -> void;
-    auto count_told(Told const& item, std::int64_t sign) -> void;
-    auto sum_told() -> void;
+    auto take_away(std::uint64_t request_number) -> void;
+    auto count_remote(RemoteLoad const& item, std::int64_t sign) -> void;
+    auto sum_remote() -> void;
 };
 
 // A relay's word, read: a whole sum or what makes one of the sum held.
-struct SumTold {
+struct LoadSumUpdate {
     std::uint64_t number = 0;
     std::uint64_t base = 0;
     std::uint64_t echo = 0;
@@ -136,16 +136,16 @@
     std::string_view body;
 };
 
-struct BurdenTable {
+struct ReplicaLoadTable {
     SchedulingOptions options;
     std::string self;
     std::map<std::string, ReplicaState> replicas;
     std::map<std::string, std::vector<ReplicaState const*>, std::less<>> pools;  // by model, in the order of names
     struct Digest {
-        std::uint64_t node = 0;  // stands for the node's name in ReplicaState::Told
+        std::uint64_t node = 0;  // stands for the node's name in ReplicaState::RemoteLoad
         std::uint64_t number = 0;
         Microseconds at = 0;
-        std::map<std::string, OtherBurden> replicas;
+        std::map<std::string, ReplicaLoad> replicas;
     };
     std::map<std::string, Digest> others;
     std::int64_t others_active = 0;  // whose digest names a replica
@@ -153,7 +153,7 @@
     Microseconds swept_at = 0;
     std::uint64_t active_changes = 1;  // counts changes of the set of these
     std::uint64_t digest_number = 0;
-    std::uint64_t nodes_told = 0;  // numbers given to nodes that told
+    std::uint64_t reporting_nodes = 0;  // numbers given to nodes that told
 
     // Load through relays: the last sum heard, and what this node told lately.
     struct Summed {
@@ -167,43 +167,44 @@
     bool relayed = false;
     std::int64_t fleet_nodes = 1;  // held alive, for as long as no relay says more
     Summed summed;
-    std::deque<std::pair<std::uint64_t, Loads>> own_told;
+    std::deque<std::pair<std::uint64_t, Loads>> own_reports;
 
-    BurdenTable() = default;
-    BurdenTable(BurdenTable&&) = default;  // `pools` points into `replicas`: moved, never copied
-    auto operator=(BurdenTable&&) -> BurdenTable& = default;
+    ReplicaLoadTable() = default;
+    ReplicaLoadTable(ReplicaLoadTable&&) = default;  // `pools` points into `replicas`: moved, never copied
+    auto operator=(ReplicaLoadTable&&) -> ReplicaLoadTable& = default;
 
     auto take_list(ReplicaList const& list) -> void;
     auto take_report(std::string const& name, ReplicaReport const& report, Microseconds asked_at) -> void;
     auto take_weights(std::string const& name, std::string const& weights, bool loading) -> void;
     // A replica's late word of one kept part; a gap or a new life forgets all that was told.
-    auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool kept) -> void {
-        take_part(name, part, hash_text(weights), kept);
+    auto take_part(std::string const& name, std::uint64_t part, std::string const& weights, bool cached) -> void {
+        take_part(name, part, hash_text(weights), cached);
     }
-    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_mark, bool kept) -> void;
+    auto take_part(std::string const& name, std::uint64_t part, std::uint64_t weights_hash, bool cached) -> void;
     auto forget_parts(std::string const& name) -> void;
     auto report_failed(std::string const& name, Microseconds now) -> void;
     auto take_digest(std::string const& node, std::uint64_t number, std::string const& body, Microseconds now) -> void;
     auto make_digest(Microseconds now) -> std::string;
-    auto make_told(std::uint64_t number, Microseconds now) -> std::string;
-    auto take_sum(std::string const& relay, SumTold const& told, Microseconds now) -> void;
+    auto make_load_report(std::uint64_t number, Microseconds now) -> std::string;
+    auto take_sum(std::string const& relay, LoadSumUpdate const& told, Microseconds now) -> void;
     // `unread`: tokens of the prompt that the replica has to read itself.
     auto place(
-        std::string const& name, Ticket const& ticket, std::int64_t memory, Microseconds now, std::int64_t unread = 0)
-        -> void;
+        std::string const& name, InferenceRequest const& inference, std::int64_t memory, Microseconds now,
+        std::int64_t unread = 0) -> void;
     // The prompt has been read: the first output came.
-    auto first_output(std::string const& name, std::uint64_t ticket) -> void;
+    auto first_output(std::string const& name, std::uint64_t request_number) -> void;
     auto ended(std::string const& name, bool failed, Microseconds now) -> void;
-    auto release(std::string const& name, std::uint64_t ticket) -> void;
+    auto release(std::string const& name, std::uint64_t request_number) -> void;
 
     auto running(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto reserve(ReplicaState const& state, Microseconds now) const -> std::int64_t;
     auto unread(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto outcomes(ReplicaState const& state, Microseconds now) const -> Outcomes;
+    auto outcomes(ReplicaState const& state, Microseconds now) const -> TryOutcomes;
     auto free_memory(ReplicaState const& state, Microseconds now) const -> std::int64_t;
-    auto kept_tokens(ReplicaState const& state, Ticket const& ticket) const -> std::int64_t;
-    auto check(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
-    auto check_apart_from_health(ReplicaState const& state, Ticket const& ticket, Microseconds now) const -> Filter;
+    auto cached_tokens(ReplicaState const& state, InferenceRequest const& inference) const -> std::int64_t;
+    auto check(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const -> Filter;
+    auto check_apart_from_health(ReplicaState const& state, InferenceRequest const& inference, Microseconds now) const
+        -> Filter;
     auto active_nodes(Microseconds now) const -> std::int64_t;
     auto refused(std::string const& name, std::string_view reason, Microseconds now) -> void;
     auto has_room(ReplicaState const& state, Microseconds now) const -> bool;
@@ -212,11 +213,11 @@
    private:
     auto tell_of(std::string const& name, ReplicaState& state) const -> void;
     auto judge_health(Microseconds now) -> void;
-    auto take_told(std::string const& node, Digest& digest, std::map<std::string, OtherBurden> told, Microseconds at)
-        -> void;
+    auto take_remote_loads(
+        std::string const& node, Digest& digest, std::map<std::string, ReplicaLoad> told, Microseconds at) -> void;
     auto forget_lost(Microseconds now) -> void;
     auto make_pools() -> void;
-    auto own_load(Microseconds now) -> std::vector<std::pair<std::string, OtherBurden>>;
+    auto own_load(Microseconds now) -> std::vector<std::pair<std::string, ReplicaLoad>>;
     auto summed_lost(Microseconds now) const -> bool;
     auto summed_reserve(ReplicaState const& state, std::int64_t slice, Microseconds now) const -> std::int64_t;
     auto summed_rank(ReplicaState const& state, std::int64_t own, Microseconds now) const -> std::int64_t;
@@ -235,4 +236,4 @@
 BOOST_HANA_ADAPT_STRUCT(dockrock::PrefixEvent, number, kind, chain);
 BOOST_HANA_ADAPT_STRUCT(
     dockrock::ReplicaReport, incarnation, weights, changing, free_memory, fence, first_event, next_event, events);
-BOOST_HANA_ADAPT_STRUCT(dockrock::OtherBurden, count, slots, memory, recent, unread, ended, failed);
+BOOST_HANA_ADAPT_STRUCT(dockrock::ReplicaLoad, count, slots, memory, recent, unread, ended, failed);
--- a/source/ticket/course.cpp
+++ b/source/ticket/request_lifecycle.cpp
@@ -1,12 +1,13 @@
-#include "ticket/course.hpp"
+#include "ticket/request_lifecycle.hpp"
 
 namespace dockrock {
 
-auto claim_key(Ticket const& ticket) -> std::string {
-    return sha256_of(ticket.body.model + "\n" + ticket.tenant_path + "\n" + ticket.body.identity).substr(0, 32);
+auto claim_key(InferenceRequest const& inference) -> std::string {
+    return sha256_of(inference.body.model + "\n" + inference.tenant_path + "\n" + inference.body.identity)
+        .substr(0, 32);
 }
 
-auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string {
+auto claim_owner(std::string_view node, std::uint64_t number) -> std::string {
     return std::string(node) + "-" + std::to_string(number);
 }
 
@@ -14,7 +15,7 @@
 
 auto step_for(RetryDecision decision) -> Step {
     switch (decision) {
-        case RetryDecision::send_again: return Step::enter;
+        case RetryDecision::send_again: return Step::enqueue;
         case RetryDecision::refused: return Step::answer_shed;
         case RetryDecision::unknown: return Step::answer_unknown;
         case RetryDecision::pass_failure: return Step::answer_failure;
@@ -33,15 +34,15 @@
 
 }  // namespace
 
-auto Course::request_facts() const -> RetryRequest {
+auto RequestLifecycle::request_facts() const -> RetryRequest {
     auto facts = history;
-    facts.repeatable = !ticket.body.run_once;
+    facts.repeatable = !inference.body.run_once;
     return facts;
 }
 
 // Once a try may have run, giving up is no longer a refusal (design 10.1).
-auto Course::give_up(std::string reason, std::int64_t retry_after) const -> CourseStep {
-    CourseStep step;
+auto RequestLifecycle::give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep {
+    LifecycleStep step;
     step.step = step_for(retry::without_another_try(request_facts()));
     step.release_claim = claim_held && !history.may_have_run;
     step.reason = std::move(reason);
@@ -50,11 +51,11 @@
     return step;
 }
 
-auto Course::given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep {
+auto RequestLifecycle::given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep {
     return give_up(std::string(reason), retry_after);
 }
 
-auto Course::placed(Placement given, CourseFacts const& facts) -> CourseStep {
+auto RequestLifecycle::placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep {
     placement = std::move(given);
     // A claim got long ago may have been forgotten since: a frozen node asks anew.
     if (claim_held && facts.now - claimed_at > claim_use_limit) claim_held = false;
@@ -62,15 +63,15 @@
     return last_checks(facts);
 }
 
-auto Course::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts)
-    -> CourseStep {
+auto RequestLifecycle::claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
+    -> LifecycleStep {
     if (state == ClaimState::granted && facts.now - asked_at <= claim_use_limit) {
         claim_held = true;
         claimed_at = asked_at;
         claim_term = term;
         return last_checks(facts);
     }
-    auto step = CourseStep();
+    auto step = LifecycleStep();
     if (state == ClaimState::seen) {
         step.step = Step::answer_seen;
     } else {  // its fate is not known, and so the ticket is never sent
@@ -81,9 +82,9 @@
 }
 
 // Right before the try is sent: rules, freshness, drain (design 8.3, 8.4).
-auto Course::last_checks(CourseFacts const& facts) -> CourseStep {
+auto RequestLifecycle::last_checks(LifecycleFacts const& facts) -> LifecycleStep {
     if (facts.rules != rules) return {Step::interpret};
-    if (ticket.deadline != 0 && facts.now >= ticket.deadline) {  // a replica is given no time that is not there
+    if (inference.deadline != 0 && facts.now >= inference.deadline) {  // a replica is given no time that is not there
         auto step = give_up("deadline", 1);
         step.give_back = placement.replica;
         return step;
@@ -93,20 +94,20 @@
 }
 
 // Nothing was sent: no extra try, and no new ticket either.
-auto Course::enter_back() -> CourseStep {
+auto RequestLifecycle::enter_back() -> LifecycleStep {
     avoid.reset();
-    ticket.counted = true;
-    CourseStep step;
-    step.step = Step::enter;
+    inference.counted = true;
+    LifecycleStep step;
+    step.step = Step::enqueue;
     step.give_back = placement.replica;
     return step;
 }
 
-auto Course::judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep {
+auto RequestLifecycle::judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep {
     rules = under;
-    CourseStep step;
+    LifecycleStep step;
     step.give_back = placement.replica;
-    if (verdict.kind != Verdict::Kind::enter) {
+    if (verdict.kind != Verdict::Kind::enqueue) {
         if (facts.proof_age > facts.refusal_limit) {  // a newer configuration may allow it
             step = give_up("not-fresh", 1);
             step.give_back = placement.replica;
@@ -119,41 +120,41 @@
         step.reason = verdict.reason;
         return step;
     }
-    take_rules(verdict.ticket);
-    if (ticket.body.run_once && history.may_have_run) {  // what was repeatable no longer is
+    take_rules(verdict.inference);
+    if (inference.body.run_once && history.may_have_run) {  // what was repeatable no longer is
         step.step = step_for(retry::without_another_try(request_facts()));
         return step;
     }
     // An answer that has begun is ended by the service that began it.
-    auto const elsewhere = !history.output_begun && verdict.ticket.body.model != ticket.body.model;
-    auto const moved =
-        elsewhere || verdict.ticket.chain != ticket.chain || verdict.ticket.wall_domain != ticket.wall_domain;
+    auto const elsewhere = !history.output_begun && verdict.inference.body.model != inference.body.model;
+    auto const moved = elsewhere || verdict.inference.chain != inference.chain ||
+        verdict.inference.isolation_domain != inference.isolation_domain;
     if (!moved) return last_checks(facts);
-    verdict.ticket.number = ticket.number;
-    verdict.ticket.arrived_at = ticket.arrived_at;
-    verdict.ticket.deadline = ticket.deadline;
-    verdict.ticket.body.run_once = ticket.body.run_once;
-    verdict.ticket.tries = ticket.tries;
-    ticket = std::move(verdict.ticket);
+    verdict.inference.number = inference.number;
+    verdict.inference.arrived_at = inference.arrived_at;
+    verdict.inference.deadline = inference.deadline;
+    verdict.inference.body.run_once = inference.body.run_once;
+    verdict.inference.tries = inference.tries;
+    inference = std::move(verdict.inference);
     return enter_back();
 }
 
 // Rules that moved while a request waits may only make it stricter.
-auto Course::take_rules(Ticket const& judged_ticket) -> void {
-    ticket.body.run_once = ticket.body.run_once || judged_ticket.body.run_once;
-    ticket.tries = std::min(ticket.tries, judged_ticket.tries);
+auto RequestLifecycle::take_rules(InferenceRequest const& judged_inference) -> void {
+    inference.body.run_once = inference.body.run_once || judged_inference.body.run_once;
+    inference.tries = std::min(inference.tries, judged_inference.tries);
 }
 
-auto Course::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> CourseStep {
+auto RequestLifecycle::ended(TryEnd end, std::string_view reason, RetryLimits limits) -> LifecycleStep {
     if (end == TryEnd::did_not_run && reason == "seen") end = TryEnd::seen_before;
     may_have_run += surely_not_run(end) ? 0 : 1;
-    limits.tries_left = ticket.tries - try_number;
-    CourseStep step;
+    limits.tries_left = inference.tries - try_number;
+    LifecycleStep step;
     step.reason = std::string(reason);
     step.status = 503;
     step.step = step_for(retry::decide(end, request_facts(), limits));
     step.release_claim = step.step == Step::answer_shed && claim_held;
-    if (step.step != Step::enter) return step;
+    if (step.step != Step::enqueue) return step;
     history.may_have_run = history.may_have_run || retry::ran_or_may_have(end);
     history.output_begun = history.output_begun || end == TryEnd::broken_resumable;
     history.failure_held = history.failure_held || end == TryEnd::answered_failure;
@@ -162,8 +163,8 @@
     return step;
 }
 
-auto Course::gone() const -> CourseStep {
-    CourseStep step;
+auto RequestLifecycle::gone() const -> LifecycleStep {
+    LifecycleStep step;
     step.release_claim = claim_held && !history.may_have_run;
     return step;
 }
--- a/source/ticket/course.hpp
+++ b/source/ticket/request_lifecycle.hpp
@@ -3,15 +3,15 @@
 // value type: events in, the next step out; the connection and the simulator
 // drive the same. docs/design.md sections 8.3, 10 and 10.5.
 #include "base/messages.hpp"
-#include "ticket/answering.hpp"
-#include "ticket/granting.hpp"
+#include "ticket/piece_reader.hpp"
+#include "ticket/scheduler.hpp"
 #include "ticket/interpreter.hpp"
 #include "ticket/retry_decision.hpp"
 
 namespace dockrock {
 
 enum class Step : int {
-    enter,           // into the buffer; `avoid` is set where it is an extra try
+    enqueue,         // into the buffer; `avoid` is set where it is an extra try
     claim,           // the identity, at the leader of the service's part
     interpret,       // the rules moved: run them again
     send,            // the try may go to its replica now
@@ -27,7 +27,7 @@
     {"enter", "claim", "interpret", "send", "answer-shed", "answer-refused", "answer-unknown", "answer-seen",
      "answer-failure", "finished"});
 
-struct CourseStep {
+struct LifecycleStep {
     Step step = Step::finished;
     std::string give_back;       // a replica whose place is not used
     bool release_claim = false;  // it never ran: the identity is free again
@@ -37,7 +37,7 @@
 };
 
 // What a node knows at the moment of the last checks.
-struct CourseFacts {
+struct LifecycleFacts {
     Microseconds now = 0;
     Microseconds proof_age = 0;
     Microseconds proof_limit = dockrock::proof_limit;
@@ -48,8 +48,8 @@
 
 inline constexpr Microseconds claim_use_limit = 60 * one_second;
 
-struct Course {
-    Ticket ticket;
+struct RequestLifecycle {
+    InferenceRequest inference;
     Sequence rules;  // under which the ticket was judged last
     Placement placement;
     int try_number = 1;
@@ -60,33 +60,34 @@
     std::uint64_t claim_term = 0;
     std::optional<std::string> avoid;
 
-    auto begin() const -> CourseStep { return {Step::enter}; }
-    auto placed(Placement given, CourseFacts const& facts) -> CourseStep;
-    auto given_up(std::string_view reason, std::int64_t retry_after) -> CourseStep;
-    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, CourseFacts const& facts) -> CourseStep;
-    auto judged(Verdict verdict, Sequence under, CourseFacts const& facts) -> CourseStep;
+    auto begin() const -> LifecycleStep { return {Step::enqueue}; }
+    auto placed(Placement given, LifecycleFacts const& facts) -> LifecycleStep;
+    auto given_up(std::string_view reason, std::int64_t retry_after) -> LifecycleStep;
+    auto claimed(ClaimState state, std::uint64_t term, Microseconds asked_at, LifecycleFacts const& facts)
+        -> LifecycleStep;
+    auto judged(Verdict verdict, Sequence under, LifecycleFacts const& facts) -> LifecycleStep;
     // `limits` but for the tries, which are counted here.
-    auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> CourseStep;
+    auto ended(TryEnd end, std::string_view reason, RetryLimits limits = RetryLimits{}) -> LifecycleStep;
     // The try was kept back right before it was written, as its rules, list or proof went on: nothing was sent, so
     // it counts as no try.
-    auto held_back() -> CourseStep { return enter_back(); }
-    auto gone() const -> CourseStep;
+    auto held_back() -> LifecycleStep { return enter_back(); }
+    auto gone() const -> LifecycleStep;
     // The last checks once more, after what took time: a connection that is opened.
-    auto may_be_sent(CourseFacts const& facts) const -> bool {
+    auto may_be_sent(LifecycleFacts const& facts) const -> bool {
         return facts.rules == rules && facts.listed && facts.proof_age <= facts.proof_limit;
     }
-    auto needs_claim() const -> bool { return ticket.body.run_once && !ticket.body.identity.empty(); }
+    auto needs_claim() const -> bool { return inference.body.run_once && !inference.body.identity.empty(); }
 
    private:
-    auto last_checks(CourseFacts const& facts) -> CourseStep;
-    auto enter_back() -> CourseStep;
+    auto last_checks(LifecycleFacts const& facts) -> LifecycleStep;
+    auto enter_back() -> LifecycleStep;
     auto request_facts() const -> RetryRequest;
-    auto take_rules(Ticket const& judged_ticket) -> void;
-    auto give_up(std::string reason, std::int64_t retry_after) const -> CourseStep;
+    auto take_rules(InferenceRequest const& judged_inference) -> void;
+    auto give_up(std::string reason, std::int64_t retry_after) const -> LifecycleStep;
 };
 
 // What is claimed: one identity of one tenant, at one model's part.
-auto claim_key(Ticket const& ticket) -> std::string;
-auto claim_ticket(std::string_view node, std::uint64_t number) -> std::string;
+auto claim_key(InferenceRequest const& inference) -> std::string;
+auto claim_owner(std::string_view node, std::uint64_t number) -> std::string;
 
 }  // namespace dockrock
--- a/source/ticket/granting.hpp
+++ b/source/ticket/scheduler.hpp
@@ -6,7 +6,7 @@
 #include <unordered_set>
 
 #include "scheduling/reading_rate.hpp"
-#include "ticket/burden.hpp"
+#include "ticket/replica_load_table.hpp"
 
 namespace dockrock {
 
@@ -30,34 +30,34 @@
     std::map<std::uint64_t, Microseconds> saving;  // lately sent there, not told of yet
 };
 struct Placement {
-    std::uint64_t ticket = 0;
+    std::uint64_t request_number = 0;
     std::string replica;
     std::string address;
     std::string weights;
     std::string incarnation;
-    std::int64_t kept_tokens = 0;
+    std::int64_t cached_tokens = 0;
     FetchPlan fetch;
     // What was known when it was chosen, for logs and estimates.
     std::int64_t tokens_to_read = 0;  // of its prompt: neither kept there nor moved
     std::int64_t outstanding = 0;     // tokens of other prompts to be read there first
     std::int64_t running = 0;         // requests there
-    std::int64_t best_kept = 0;       // longest run that any replica of these weights kept
+    std::int64_t best_cached = 0;     // longest run that any replica of these weights kept
     std::optional<Filter> held_by;    // the filter that made it wait last
     bool short_prompt = false;        // so little to read that it goes before other requests
 };
 // The longest leading runs of a prompt that are kept under some weights, in tokens.
-struct KeptRuns {
-    std::uint64_t weights_mark = 0;
+struct CachedPrefixes {
+    std::uint64_t weights_hash = 0;
     std::int64_t replicas = 0;
     std::int64_t stores = 0;
 };
 // Tokens of a prompt that other requests may ask for again: all parts but the last.
-auto shared_run(Ticket const& ticket) -> std::int64_t;
+auto shared_run(InferenceRequest const& inference) -> std::int64_t;
 enum class ShedReason : int { buffer_full, deadline, not_fresh, no_replica, key_gone, outranked, budget };
 inline constexpr auto shed_names = std::to_array<std::string_view>(
     {"buffer-full", "deadline", "not-fresh", "no-replica", "key-gone", "outranked", "extra-tries-spent"});
 struct Shed {
-    std::uint64_t ticket = 0;
+    std::uint64_t request_number = 0;
     ShedReason reason = ShedReason::deadline;
     std::int64_t retry_after = 1;  // whole seconds
 };
@@ -68,36 +68,36 @@
 
 // Extra tries: a fifth of a try for each ticket. The store is one for each node,
 // so that a fleet of about ten has a slack of about ten (design 10.4).
-struct TryBudget {
+struct RetryBudget {
     double stored = 1.0;
     double most = 1.0;
-    double each_ticket = 0.2;
-    auto ticket_came() -> void { stored = std::min(most, stored + each_ticket); }
+    double each_request = 0.2;
+    auto deposit() -> void { stored = std::min(most, stored + each_request); }
     auto any() const -> bool { return stored >= 1.0; }
     auto take() -> void { stored -= 1.0; }
 };
 
-struct Waiting {
-    Ticket ticket;
+struct QueuedRequest {
+    InferenceRequest inference;
     Microseconds since = 0;
     std::set<std::string> avoid;  // replicas that refused it
     Microseconds owes_since = 0;  // an extra try that the budget has still to pay
     std::optional<Filter> held_by;
 };
-struct ModelBuffer {
-    std::vector<Waiting> waiting;
+struct ModelQueue {
+    std::vector<QueuedRequest> waiting;
     double drain_rate = 0.0;  // tickets each second, while any wait
     Microseconds drained_at = 0;
     double service_each_token = 0.0;  // microseconds
     Microseconds empty_pool_since = 0;
 };
 
-struct Granting {
+struct Scheduler {
     SchedulingOptions options;
-    BurdenTable burden;
-    std::map<std::string, ModelBuffer> buffers;
+    ReplicaLoadTable load_table;
+    std::map<std::string, ModelQueue> queues;
     std::size_t buffer_length = 256;
-    TryBudget budget;
+    RetryBudget budget;
     Microseconds proof_limit = dockrock::proof_limit;            // older: no new entry is granted
     Microseconds proof_shed_limit = dockrock::proof_shed_limit;  // older: tickets are shed at once
     std::string store_address;
@@ -119,41 +119,45 @@
     std::uint64_t placed_count = 0;
     std::uint64_t extra_tries = 0;
 
-    auto set_options(SchedulingOptions const& given) -> void { options = burden.options = given; }
-    auto enter(Ticket const& ticket, Microseconds now, Decisions& decisions) -> void;
-    auto enter_again(Ticket const& ticket, std::string const& avoid, Microseconds now) -> void;
+    auto set_options(SchedulingOptions const& given) -> void { options = load_table.options = given; }
+    auto enqueue(InferenceRequest const& inference, Microseconds now, Decisions& decisions) -> void;
+    auto enqueue_retry(InferenceRequest const& inference, std::string const& avoid, Microseconds now) -> void;
     auto fetched(
         std::string const& source, std::string const& target, std::int64_t tokens, Microseconds took, Microseconds now)
         -> void;
-    auto withdraw(std::uint64_t ticket) -> bool;
-    auto match(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
+    auto withdraw(std::uint64_t request_number) -> bool;
+    auto schedule(Microseconds now, Microseconds proof_age, Decisions& decisions) -> void;
     auto finished(
-        std::string const& replica, Ticket const& ticket, Microseconds service, Microseconds now, bool answered)
-        -> void;
+        std::string const& replica, InferenceRequest const& inference, Microseconds service, Microseconds now,
+        bool answered) -> void;
     // The first output came `took` after the request was sent: its prompt has been read.
-    auto first_output(Placement const& placement, Ticket const& ticket, Microseconds took) -> void;
+    auto first_output(Placement const& placement, InferenceRequest const& inference, Microseconds took) -> void;
     auto reading_rate(std::string const& model) const -> double;
     auto waiting_count() const -> std::size_t;
-    auto score(Waiting const& waiting, Microseconds now) const -> double;
-    auto retry_after(ModelBuffer const& buffer) const -> std::int64_t;
-    auto shed(Decisions& decisions, ModelBuffer const& buffer, std::uint64_t ticket, ShedReason reason) -> void;
+    auto score(QueuedRequest const& waiting, Microseconds now) const -> double;
+    auto retry_after(ModelQueue const& buffer) const -> std::int64_t;
+    auto shed(Decisions& decisions, ModelQueue const& buffer, std::uint64_t request_number, ShedReason reason) -> void;
 
    private:
-    auto match_model(std::string const& model, ModelBuffer& buffer, Microseconds now, Decisions& decisions) -> void;
-    auto candidates(Waiting& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
-    auto choose(Waiting& waiting, Microseconds now) -> ReplicaState const*;
-    auto least_requests(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
-        -> ReplicaState const*;
-    auto least_work(std::vector<ReplicaState const*> const& found, Ticket const& ticket, Microseconds now) const
+    auto schedule_model(std::string const& model, ModelQueue& buffer, Microseconds now, Decisions& decisions) -> void;
+    auto candidates(QueuedRequest& waiting, Microseconds now) -> std::vector<ReplicaState const*>;
+    auto choose(QueuedRequest& waiting, Microseconds now) -> ReplicaState const*;
+    auto least_requests(
+        std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now) const
         -> ReplicaState const*;
-    auto kept_runs(Ticket const& ticket, std::uint64_t weights_mark) const -> KeptRuns;
-    auto place(Waiting const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
-    auto plan_parts(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now) -> FetchPlan;
-    auto plan_fetch(ReplicaState const& target, Ticket const& ticket, std::int64_t kept, Microseconds now) const
+    auto least_work(std::vector<ReplicaState const*> const& found, InferenceRequest const& inference, Microseconds now)
+        const -> ReplicaState const*;
+    auto cached_prefixes(InferenceRequest const& inference, std::uint64_t weights_hash) const -> CachedPrefixes;
+    auto place(QueuedRequest const& waiting, ReplicaState const& state, Microseconds now) -> Placement;
+    auto plan_parts(
+        ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now)
+        -> FetchPlan;
+    auto plan_fetch(
+        ReplicaState const& target, InferenceRequest const& inference, std::int64_t cached, Microseconds now) const
         -> FetchPlan;
     auto link_rate(std::string const& source, std::string const& target, Microseconds now) const -> double;
     auto share_factor(std::string const& tenant, int share, Microseconds now) const -> double;
-    auto expected_service(ModelBuffer const& buffer, Ticket const& ticket) const -> Microseconds;
+    auto expected_service(ModelQueue const& buffer, InferenceRequest const& inference) const -> Microseconds;
 };
 
 }  // namespace dockrock
