--- a/source/connection/relay_heads.cpp
+++ b/source/connection/relay_heads.cpp
@@ -126,7 +126,7 @@
     return head;
 }
 
-auto RelaySession::arrival_of(HttpRequest const& request, Microseconds now) const -> RelayArrival {
+auto RelaySession::arrival_of(HttpRequest const& request, Microseconds now) const -> RelayedRequest {
     auto const& names = node.form->headers;
     auto const target = request.target();
     return {
--- a/source/connection/relay_session.cpp
+++ b/source/connection/relay_session.cpp
@@ -60,7 +60,8 @@
 auto RelaySession::judge(HttpRequest const& request, Microseconds arrived_at) const -> RelayJudgement {
     auto const proven = node.proven_at.load();
     auto const current = node.snapshot.load();
-    return {judge_relayed(current->rules->services, arrival_of(request, arrived_at)), current->rules->sequence, proven};
+    return {
+        interpret_relayed(current->rules->services, arrival_of(request, arrived_at)), current->rules->sequence, proven};
 }
 
 auto RelaySession::handle(HttpRequest const& request) -> awaitable<bool> {
--- a/source/connection/relay_session.hpp
+++ b/source/connection/relay_session.hpp
@@ -70,7 +70,7 @@
     auto watch_on(std::shared_ptr<ClientWatch> state) -> void;
     auto end_watch() -> void;
     auto look_for_client() -> bool;  // whether it has left; asked right before a request is sent
-    auto arrival_of(HttpRequest const& request, Microseconds now) const -> RelayArrival;
+    auto arrival_of(HttpRequest const& request, Microseconds now) const -> RelayedRequest;
     auto write_all(std::string const& bytes) -> awaitable<bool>;
 };
 
--- a/source/connection/session.cpp
+++ b/source/connection/session.cpp
@@ -127,7 +127,7 @@
 
 // The rules are run as a oneTBB task against the snapshot of this moment.
 auto Session::interpret_now(HttpRequest const& request) -> awaitable<std::pair<Verdict, SnapshotPointer>> {
-    auto arrival = Arrival{
+    auto arrival = IncomingRequest{
         std::string(request.method_string()),
         std::string(request.target()),
         "",
--- a/source/request/relayed.cpp
+++ b/source/request/relayed.cpp
@@ -66,7 +66,7 @@
 
 namespace {
 // By the route's timeout, or by the client's own if that is shorter.
-auto deadline_of(RelayArrival const& arrival, Route const& route) -> Microseconds {
+auto deadline_of(RelayedRequest const& arrival, Route const& route) -> Microseconds {
     auto const given = number_of(arrival.deadline, 0);
     auto limit = std::min(route.timeout, longest_timeout);
     if (given > 0) limit = std::min(limit, std::min<std::int64_t>(given, 3'600'000) * one_millisecond);
@@ -74,7 +74,7 @@
 }
 
 // Fills in what the scheduler needs for a request that its route and its tenant admit.
-auto fill_ticket(RelayArrival const& arrival, RelayVerdict const& judged, Ticket& ticket) -> void {
+auto fill_ticket(RelayedRequest const& arrival, RelayVerdict const& judged, Ticket& ticket) -> void {
     auto const& route = *judged.route;
     auto const* const tenant = judged.tenant;
     ticket.body.model = choose_service(route, hash_text(arrival.identity));
@@ -95,7 +95,7 @@
 }
 }  // namespace
 
-auto judge_relayed(std::shared_ptr<ServiceRules const> rules, RelayArrival const& arrival) -> RelayVerdict {
+auto interpret_relayed(std::shared_ptr<ServiceRules const> rules, RelayedRequest const& arrival) -> RelayVerdict {
     RelayVerdict result;
     auto& verdict = result.verdict;
     auto& ticket = verdict.ticket;
--- a/source/request/relayed.hpp
+++ b/source/request/relayed.hpp
@@ -8,7 +8,7 @@
 namespace dockrock {
 
 // The request's head, as views into the connection's buffer.
-struct RelayArrival {
+struct RelayedRequest {
     std::string_view method, path, host, identity, key, deadline, model, tokens, prefix, last_event;
     Microseconds now = 0;  // when the head had been read whole
 };
@@ -20,7 +20,7 @@
     std::shared_ptr<ServiceRules const> rules;  // keeps route and tenant alive
 };
 
-auto judge_relayed(std::shared_ptr<ServiceRules const> rules, RelayArrival const& arrival) -> RelayVerdict;
+auto interpret_relayed(std::shared_ptr<ServiceRules const> rules, RelayedRequest const& arrival) -> RelayVerdict;
 
 // The prefix cache salt: isolation domain and weights version, so that a lookup never finds cache entries of
 // another domain or of other weights.
--- a/source/ticket/interpreter.cpp
+++ b/source/ticket/interpreter.cpp
@@ -6,7 +6,7 @@
 
 struct Run {
     Rules const& rules;
-    Arrival const& arrival;
+    IncomingRequest const& arrival;
     Verdict verdict;
     std::vector<std::size_t> const* by_key = nullptr;
     Tenant const* tenant = nullptr;
@@ -128,7 +128,7 @@
 
 }  // namespace
 
-auto interpret(Rules const& rules, Arrival const& arrival) -> Verdict {
+auto interpret(Rules const& rules, IncomingRequest const& arrival) -> Verdict {
     auto run = Run{rules, arrival, {}, nullptr, nullptr};
     auto const path = std::string_view(arrival.path).substr(0, arrival.path.find('?'));
     for (auto const& mapping : rules.mappings) {
@@ -144,7 +144,7 @@
     return std::move(run.verdict);
 }
 
-auto key_holds(Rules const& rules, std::string const& key_hash, std::string const& tenant_path) -> bool {
+auto key_is_valid(Rules const& rules, std::string const& key_hash, std::string const& tenant_path) -> bool {
     auto const found = rules.tenants_by_key.find(key_hash);
     if (found == rules.tenants_by_key.end()) return false;
     return std::any_of(found->second.begin(), found->second.end(), [&](auto place) {
--- a/source/ticket/interpreter.hpp
+++ b/source/ticket/interpreter.hpp
@@ -6,7 +6,7 @@
 namespace dockrock {
 
 // An incoming HTTP request.
-struct Arrival {
+struct IncomingRequest {
     std::string method;
     std::string path;
     std::string key;
@@ -26,9 +26,9 @@
     std::string forward_path;
 };
 
-auto interpret(Rules const& rules, Arrival const& arrival) -> Verdict;
+auto interpret(Rules const& rules, IncomingRequest const& arrival) -> Verdict;
 
 // Whether these rules still let the key use the tenant (design 8.3).
-auto key_holds(Rules const& rules, std::string const& key_hash, std::string const& tenant_path) -> bool;
+auto key_is_valid(Rules const& rules, std::string const& key_hash, std::string const& tenant_path) -> bool;
 
 }  // namespace dockrock
